--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -9,14 +9,11 @@
 import signal
 import socket
 import time
-from collections.abc import Awaitable, Callable
 from typing import Any
 
-from indigokeel import handover
 from indigokeel.config import Config, ConfigError, reload_config
 from indigokeel.decision.interface import BEAT
 from indigokeel.facade import Facade
-from indigokeel.handover import HandoverError
 from indigokeel.machine_list import MachineList
 from indigokeel.net.client_connections import ClientConnections
 from indigokeel.net.connections import Audit
@@ -24,10 +21,13 @@
 from indigokeel.net.discovery import Discovery
 from indigokeel.net.exchange import Reply, Task
 from indigokeel.net.handover_file import HandoverFiles
+from indigokeel.net.listener import ClientListener
 from indigokeel.net.management import MOST as MOST_CALLS
 from indigokeel.net.management import Management
 from indigokeel.net.pool import Pool
+from indigokeel.net.state_persistence import StatePersistence
 from indigokeel.net.submitters import Final, Session
+from indigokeel.net.supervision import Supervisor
 from indigokeel.orders import Claim, Job, Orders, Outcome, Verdict
 
 _RESERVE = 32  # descriptors kept for the log, discovery, the event loop and what the system wants
@@ -37,12 +37,8 @@
 _LOOK = 0.2  # s between looks at connections
 _RETIRE = 5  # looks between those at idle connections to execute nodes
 _AUDIT = 25  # looks between audits of the descriptors
-_BACKLOG = 512
 _SPARE = 12  # of the reserve: for new clients while all others are at work or have yet to read a last word
 _STOOD = 0.02  # s by which the clock is late where the sockets are looked at first
-_SYNC = 0.05  # s between looks at what another process of this sidecar was told
-_LEAVE = 1.0  # s between two writings of what the next process starts from ...
-_LEARNED = 5.0  # ... and for which that is believed, but for the operators' word
 _FIRST_LIST = 1.5  # s in which discovery's first word is awaited, before this process says that it serves
 _KILLED = 3.0, 0.7  # s: SIGKILL comes the longest deadline, at most the first, and the second after SIGTERM
 _LAST = 0.15  # s before that by which all is answered and written, and this long before that it is answered
@@ -87,13 +83,19 @@
         self._due_at = math.inf
         self._lag = 0.0
         self._looked = False  # at the sockets, since the clock was found late
-        self._tasks: asyncio.TaskGroup
-        self._spawned: set[asyncio.Task[None]] = set()
+        self._supervisor = Supervisor(self._counters)
         self._audit: Audit
         self._management = Management(self, self._counters)
-        self._left = HandoverFiles(config.state_dir, config.name) if config.state_dir else None
-        self._left_at, self._listed_at, self._began = -math.inf, 0.0, time.monotonic()
-        self._unwritten = False  # the last time
+        self._persistence: StatePersistence | None = None
+        if config.state_dir:
+            self._persistence = StatePersistence(
+                HandoverFiles(config.state_dir, config.name),
+                self._facade,
+                self._counters,
+                self._carry_out,
+                lambda: self._discovery.version,
+            )
+        self._began = time.monotonic()
         self._learned: Any = None  # what the process before left, until it is taken in
         self._accepting = False
         self._ends_at = math.inf
@@ -122,7 +124,8 @@
             return False
         self._counters.add(f"{call}s")
         self._carry_out(orders)
-        self._leave()  # before the yes: the next process is bound by it too
+        if self._persistence is not None:
+            self._persistence.persist()  # before the yes: the next process is bound by it too
         return True
 
     def knows(self, job_id: str) -> bool:
@@ -197,15 +200,15 @@
                 served = reply if answer.verdict is Verdict.SERVED else None
                 waiting[0].answer(Final(answer.verdict, answer.retry_in, served))
         for node in orders.probes:
-            self._spawn("probe", self._probe, node)
+            self._supervisor.spawn("probe", self._probe, node)
         for node in orders.close_idle:
             self._pool.close_idle(node)
         if orders.warm:
             self._pool.listed(orders.warm)
         if orders.watch:
-            self._spawn("watch", self._discovery.watch)
+            self._supervisor.spawn("watch", self._discovery.watch)
         if orders.fetch:
-            self._spawn("fetch", self._discovery.fetch)
+            self._supervisor.spawn("fetch", self._discovery.fetch)
         if self._facade.due() < self._due_at:
             self._wind()
 
@@ -233,7 +236,8 @@
             self._carry_out(self._facade.learn(time.monotonic(), learned))
 
     def _listed(self, news: MachineList) -> None:
-        self._listed_at = time.time()
+        if self._persistence is not None:
+            self._persistence.note_list()
         self._carry_out(self._facade.listed(time.monotonic(), news))
 
     def _list_failed(self) -> None:
@@ -241,22 +245,6 @@
 
     # --- tasks ----------------------------------------------------------------------------------------
 
-    def _spawn(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        task = self._tasks.create_task(self._guard(what, call, *args))
-        self._spawned.add(task)
-        task.add_done_callback(self._spawned.discard)
-
-    async def _guard(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run a task. A fault is logged and counted; it never takes the other tasks with it."""
-        try:
-            await call(*args)
-        except Exception as error:
-            self._fault(what, error)
-
-    def _fault(self, what: str, error: BaseException | None) -> None:
-        self._counters.add("task_faults")
-        self._counters.log(f"fault in {what}: {type(error).__name__}: {error}")
-
     def _wind(self) -> None:
         """Set the clock for what is due next."""
         if self._clock is not None:
@@ -278,7 +266,7 @@
         try:
             self._carry_out(self._facade.tick(time.monotonic()))
         except Exception as error:  # the clock must go on whatever one entry did
-            self._fault("tick", error)
+            self._supervisor.fault("tick", error)
         self._wind()
 
     def _beat(self, due: float) -> None:
@@ -289,7 +277,7 @@
             self._carry_out(self._facade.lagged(now, self._lag))
             self.behind = self._facade.behind()
         except Exception as error:  # the beat must go on
-            self._fault("beat", error)
+            self._supervisor.fault("beat", error)
         asyncio.get_running_loop().call_later(BEAT, self._beat, now + BEAT)
 
     async def _housekeeping(self) -> None:
@@ -312,34 +300,34 @@
         """Serve on a socket that is bound, until told to stop; end once nothing is owed."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(
-            lambda _, context: self._fault(context.get("message", ""), context.get("exception"))
+            lambda _, context: self._supervisor.fault(context.get("message", ""), context.get("exception"))
         )
         signals: asyncio.Queue[signal.Signals] = asyncio.Queue()
         for number in _SIGNALS:
             loop.add_signal_handler(number, signals.put_nowait, number)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        async with asyncio.TaskGroup() as self._tasks:
+        async with asyncio.TaskGroup() as tasks:
+            self._supervisor.attach(tasks)
             known = self._config.known
-            found = self._take_over() if self._left is not None else None
-            if found is not None and found.version >= known.version:
-                known = found
+            if self._persistence is not None:
+                restored = self._persistence.restore()
+                self._learned = restored.learned
+                if restored.known is not None and restored.known.version >= known.version:
+                    known = restored.known
             self._discovery.version, self._known = known.version, known
             if self._discovery.pushed:
                 # What the agent has binds from the first moment on: no job is sent by the old list alone,
                 # unless the agent is silent. Until then there is no node, and jobs are held.
-                self._spawn("watch", self._discovery.watch)
+                self._supervisor.spawn("watch", self._discovery.watch)
                 loop.call_later(_FIRST_LIST, self._use_known)
             else:
                 self._use_known()
-            if self._left is not None:
-                self._spawn("sync", self._sync)
+            if self._persistence is not None:
+                self._supervisor.spawn("sync", self._persistence.synchronise, lambda: self.closing)
             if self._config.mgmt is not None:
-                self._spawn("management", self._manage, self._config.mgmt)
-            server = await loop.create_server(
-                lambda: Session(self, self._counters),
-                sock=listener,
-                backlog=_BACKLOG,
-            )
+                self._supervisor.spawn("management", self._manage, self._config.mgmt)
+            clients = ClientListener(listener, lambda: Session(self, self._counters))
+            await clients.open()
             self._accepting = True
             self._audit = Audit(
                 lambda: self._pool.connections.books,
@@ -349,7 +337,7 @@
                 lambda level, text: self._counters.log(text, level),
                 time.monotonic,
             )
-            self._spawn("housekeeping", self._housekeeping)
+            self._supervisor.spawn("housekeeping", self._housekeeping)
             loop.call_later(BEAT, self._beat, time.monotonic() + BEAT)
             while (number := await signals.get()) not in (signal.SIGTERM, signal.SIGINT):
                 if number == signal.SIGUSR1:
@@ -357,9 +345,8 @@
                 else:
                     self._reload()
             signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # for good: the loop lets go of it
-            await self._end(server)
-            for task in list(self._spawned):
-                task.cancel()
+            await self._end(clients)
+            self._supervisor.cancel_all()
         self._dump()
 
     async def _manage(self, address: tuple[str, int]) -> None:
@@ -389,9 +376,9 @@
         self._discovery.pushed = not settings.ask_membership
         self._counters.add("reloads")
         self._counters.log(f"a new configuration: classes {', '.join(cls.name for cls in settings.classes)}")
-        self._spawn("move", self._discovery.move, config.discovery)
+        self._supervisor.spawn("move", self._discovery.move, config.discovery)
 
-    async def _end(self, server: asyncio.Server) -> None:
+    async def _end(self, clients: ClientListener) -> None:
         """Graceful shutdown: take requests for a while, answer all that was taken before SIGKILL would come,
         and see that the answers go out."""
         self._counters.log("stopping")
@@ -409,7 +396,7 @@
         if not shared:
             # What the system has accepted already is ours: the loop takes it before the listener goes.
             await asyncio.sleep(0.01)
-        server.close()
+        clients.close()
         # A message that is only half here is not owed an answer; it may still become whole for a moment.
         patience = time.monotonic() + _HALF_READ
         while self._sessions and time.monotonic() < self._ends_at:
@@ -429,54 +416,7 @@
                 session.look(time.monotonic())
         self._management.close()
 
-    # --- what one process leaves for the next -----------------------------------------------------------
-
-    def _take_over(self) -> MachineList | None:
-        """Take in what other processes of this sidecar left; the newest machine list among that."""
-        assert self._left is not None
-        known = None
-        for name in self._left.fresh():
-            try:
-                found = self._left.read(name, time.time())
-            except (HandoverError, OSError) as error:
-                self._counters.add("handovers_unread")
-                self._counters.log(f"nothing is taken over from the process before: {error}", "warning")
-                continue
-            if found is None:
-                continue
-            self._carry_out(self._facade.merge(time.monotonic(), found.marks))
-            if self._facade.cordons.lacks(found.marks):
-                self._left_at = -math.inf
-            if known is None:
-                known = found.known
-                if not self._accepting and time.time() - found.at < _LEARNED:
-                    self._learned = found.learned
-        return known
-
-    def _leave(self) -> None:
-        """Leave what this process knows."""
-        if self._left is None:
-            return
-        now = self._left_at = time.time()
-        known = MachineList(self._discovery.version, True, self._facade.machines())
-        learned, marks = self._facade.learned(time.monotonic()), self._facade.cordons.marks()
-        try:
-            self._left.write(handover.encode(now, marks, known, self._listed_at, learned))
-            self._unwritten = False
-        except OSError as error:
-            self._counters.add("handovers_unwritten")
-            if not self._unwritten:  # told once, not each second
-                self._counters.log(f"nothing can be left for the next process: {error}", "warning")
-            self._unwritten = True
-
-    async def _sync(self) -> None:
-        assert self._left is not None
-        while True:
-            await asyncio.sleep(_SYNC)
-            self._take_over()
-            if self._left_at < 0.0 or (time.time() - self._left_at > _LEAVE and not self.closing):
-                self._leave()
-                self._left.tidy()
+    # --- counters and the audit -----------------------------------------------------------------------
 
     def _others(self) -> dict[int, str]:
         """The descriptors in use that are no connection to an execute node."""
