--- a/indigokeel/net/connections/link.py
+++ b/indigokeel/net/connections/link.py
@@ -10,17 +10,19 @@
 
 import asyncio
 import contextlib
-import errno
 import os
 import select
 import socket
 from collections.abc import Sequence
+from random import Random
 from typing import Protocol
 
+from indigokeel.net.connections.backoff import Backoff
 from indigokeel.net.connections.books import State
+from indigokeel.net.errors import LocalError, Meaning, Step, meaning, typed
 
 _READ = 64 * 1024  # bytes asked of the socket at a time
-_AGAIN = (errno.EAGAIN, errno.EINTR)
+_PIECES = 64  # pieces written at a time; a system takes 1,024 at most (IOV_MAX)
 
 
 class Conversation(Protocol):
@@ -32,9 +34,10 @@
     def drained(self) -> None:
         """All that was said has been written, where that took more than the call."""
 
-    def lost(self, unsent: bool, ended: bool) -> None:
+    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
         """The connection is gone, by the peer or by a fault; ``unsent``: before all that was said was
-        written; ``ended``: the peer has closed it in order. Not called where this side has closed it."""
+        written; ``ended``: the peer has closed it in order; ``local``: this machine could not go on with it.
+        Not called where this side has closed it."""
 
 
 class Owner(Protocol):
@@ -52,8 +55,9 @@
     """One connection. ``state`` belongs to the books; the descriptor to this object alone."""
 
     __slots__ = (
-        "_loop", "_owner", "_poll", "_reading", "_sock", "_timer", "_unsent", "_writing", "address", "calls",
-        "conversation", "fd", "idle_since", "inode", "node", "state",
+        "_backoff", "_loop", "_owner", "_patience", "_poll", "_reading", "_sock", "_stalled", "_timer",
+        "_unsent", "_waiting_to_read", "_waiting_to_write", "_writing", "address", "calls", "conversation",
+        "fd", "idle_since", "inode", "node", "state",
     )  # fmt: skip
 
     def __init__(
@@ -72,45 +76,74 @@
         self._timer: asyncio.TimerHandle | None = None
         self._unsent: list[bytes | memoryview] = []
         self._reading = self._writing = False
+        # While this machine cannot read or write (ENOBUFS, ENOMEM): the delays, the timers that end them, and
+        # how long writing has waited without a byte written.
+        self._backoff: Backoff | None = None
+        self._waiting_to_read: asyncio.TimerHandle | None = None
+        self._waiting_to_write: asyncio.TimerHandle | None = None
+        self._stalled = self._patience = 0.0
 
     def open(self, patience: float) -> None:
-        """Begin to connect; raises OSError where even that is not possible. The owner is told, later, that
-        it came up or that it did not within ``patience`` seconds."""
-        sock = socket.socket(
-            socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET,
-            socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC,
-        )
+        """Begin to connect; raises OSError where even that is not possible, and LocalError where that is this
+        machine's own fault. The owner is told, later, that it came up or that it did not within ``patience``
+        seconds."""
         try:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            found = sock.connect_ex(self.address)
-            if found not in (0, errno.EINPROGRESS):
-                raise OSError(found, os.strerror(found))
-            self.fd, self.inode = sock.fileno(), os.fstat(sock.fileno()).st_ino
-            self._loop.add_writer(self.fd, self._connected)
-            self._writing = True
-            self._timer = self._loop.call_later(patience, self._too_late)
+            sock = socket.socket(
+                socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET,
+                socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC,
+            )
+        except OSError as error:
+            raise typed(error.errno, Step.PREPARE) from error
+        try:
+            self._connect(sock, patience)
         except BaseException:
             if self._writing:
                 self._loop.remove_writer(self.fd)
                 self._writing = False
             self.fd = -1
-            sock.close()
+            with contextlib.suppress(OSError):
+                sock.close()
             raise
-        self._sock = sock
+        self._sock, self._patience = sock, patience
+
+    def _connect(self, sock: socket.socket, patience: float) -> None:
+        try:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.fd, self.inode = sock.fileno(), os.fstat(sock.fileno()).st_ino
+        except OSError as error:
+            raise typed(error.errno, Step.PREPARE) from error
+        try:
+            found = sock.connect_ex(self.address)
+        except OSError as error:
+            found = error.errno or -1  # not the system's: a name that cannot be resolved
+        if meaning(found, Step.CONNECT) is not Meaning.GOES_ON:
+            raise typed(found, Step.CONNECT)
+        try:
+            self._loop.add_writer(self.fd, self._connected)
+        except OSError as error:
+            raise typed(error.errno, Step.PREPARE) from error
+        self._writing = True
+        self._timer = self._loop.call_later(patience, self._too_late)
 
     def _connected(self) -> None:
         sock = self._sock
         if sock is None or self.state is not State.OPENING:
             return
-        found = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        try:
+            found = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            step = Step.CONNECTING
+            if not found:
+                self._loop.add_reader(self.fd, self._readable)  # before the writer goes: one watch, changed
+                self._reading = True
+        except OSError as error:
+            found, step = error.errno or -1, Step.PREPARE
         if found:
-            self._down(OSError(found, os.strerror(found)))
+            if meaning(found, step) is not Meaning.GOES_ON:
+                self._down(typed(found, step))
             return
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._loop.add_reader(self.fd, self._readable)  # before the writer goes: one watch, changed
-        self._reading = True
         self._loop.remove_writer(self.fd)
         self._writing = False
         self._owner.came_up(self)
@@ -122,7 +155,10 @@
             return False
         poll = select.poll()
         poll.register(self.fd, select.POLLOUT)
-        if not poll.poll(0):
+        try:
+            if not poll.poll(0):
+                return False
+        except OSError:  # the system cannot tell now
             return False
         self._connected()
         return self.state is not State.OPENING and self._sock is not None
@@ -138,7 +174,7 @@
         self.close()
         try:
             if conversation is not None:
-                conversation.lost(unsent, ended)
+                conversation.lost(unsent, ended, isinstance(error, LocalError))
         except Exception as fault:  # costs this connection and no other
             self._owner.fault(fault)
         finally:
@@ -156,11 +192,14 @@
         return any(found & select.POLLERR for _, found in self._polled())
 
     def _polled(self) -> list[tuple[int, int]]:
-        """What the system says of the descriptor now."""
+        """What the system says of the descriptor now; nothing, where it cannot."""
         if self._poll is None:
             self._poll = select.poll()
             self._poll.register(self.fd, select.POLLIN)
-        return self._poll.poll(0)
+        try:
+            return self._poll.poll(0)
+        except OSError:
+            return []
 
     def _read(self) -> None:
         sock = self._sock
@@ -169,9 +208,14 @@
         try:
             data = sock.recv(_READ)
         except OSError as error:
-            if error.errno not in _AGAIN:
-                self._down(None)
+            match meaning(error.errno, Step.READ):
+                case Meaning.LOCAL:
+                    self.pause()
+                    self._waiting_to_read = self._loop.call_later(self._delay(), self.resume)
+                case Meaning.UPSTREAM:
+                    self._down(None)
             return
+        self._backoff = None
         if not data or self.conversation is None or self.state is State.IDLE:
             self._down(None, not data)  # its end, or bytes that nobody asked for
             return
@@ -181,52 +225,101 @@
             self._owner.fault(fault)
             self._down(None)
 
+    def begin(self, pieces: Sequence[bytes]) -> bool:
+        """As ``say``, for the first of a message; raises LocalError where this machine cannot write now. Then
+        nothing of it was written, and nothing will be."""
+        return self._say(pieces, True)
+
     def say(self, pieces: Sequence[bytes]) -> bool:
         """Write; what the system does not take now follows as soon as it does. False where the connection
         turns out to be broken, so that not all can have been written; it is for the caller to close it."""
+        return self._say(pieces, False)
+
+    def _say(self, pieces: Sequence[bytes], first: bool) -> bool:
         if self._sock is None:
             return False
         if self._unsent:
             self._unsent += pieces
             return True
-        try:
-            sent = os.writev(self.fd, pieces)
-        except OSError as error:
-            if error.errno not in _AGAIN:
-                return False
-            sent = 0
+        sent, found = self._write(pieces)
+        if found is Meaning.UPSTREAM:
+            return False
+        if found is Meaning.LOCAL and first:
+            raise LocalError("this machine cannot write now")
         if sent < sum(map(len, pieces)):
             self._unsent = _after(pieces, sent)
-            self._loop.add_writer(self.fd, self._writable)
-            self._writing = True
+            self._wait_to_write(found)
         return True
 
+    def _write(self, pieces: Sequence[bytes | memoryview]) -> tuple[int, Meaning]:
+        """Write once: how many bytes that was, and what an error says."""
+        try:
+            return os.writev(self.fd, pieces[:_PIECES]), Meaning.GOES_ON
+        except OSError as error:
+            return 0, meaning(error.errno, Step.WRITE)
+
+    def _wait_to_write(self, found: Meaning) -> None:
+        """Go on once the system takes more; where this machine could not write, a little later."""
+        if found is not Meaning.LOCAL:
+            if not self._writing:
+                self._loop.add_writer(self.fd, self._writable)
+                self._writing = True
+            return
+        if self._writing:
+            self._loop.remove_writer(self.fd)
+            self._writing = False
+        delay = self._delay()
+        self._stalled += delay
+        self._waiting_to_write = self._loop.call_later(delay, self._writable)
+
+    def _delay(self) -> float:
+        """How long to wait, in seconds, where this machine could not read or write."""
+        if self._backoff is None:
+            self._backoff = Backoff(Random())
+        return self._backoff.next()
+
     def _writable(self) -> None:
+        self._waiting_to_write = None
         if self._sock is None:
             return
-        try:
-            self._unsent = _after(self._unsent, os.writev(self.fd, self._unsent[:64]))
-        except OSError as error:
-            if error.errno not in _AGAIN:
-                self._down(None)
+        sent, found = self._write(self._unsent)
+        if found is Meaning.UPSTREAM:
+            self._down(None)
+            return
+        if found is Meaning.LOCAL and self._stalled >= self._patience:
+            self._down(LocalError("this machine cannot write"))
             return
-        if not self._unsent and self._writing:
+        if sent:
+            self._stalled, self._backoff = 0.0, None
+        self._unsent = _after(self._unsent, sent)
+        if self._unsent:
+            self._wait_to_write(found)
+            return
+        if self._writing:
             self._loop.remove_writer(self.fd)
             self._writing = False
-            try:
-                if self.conversation is not None:
-                    self.conversation.drained()
-            except Exception as fault:
-                self._owner.fault(fault)
-                self._down(None)
+        try:
+            if self.conversation is not None:
+                self.conversation.drained()
+        except Exception as fault:
+            self._owner.fault(fault)
+            self._down(None)
 
     def pause(self) -> None:
         """Read nothing for now: what the peer sends waits in the system, then at the peer."""
+        self._read_on()
         if self._reading:
             self._loop.remove_reader(self.fd)
             self._reading = False
 
+    def _read_on(self) -> None:
+        """Nothing waits any more for this machine to be able to read."""
+        if self._waiting_to_read is not None:
+            self._waiting_to_read.cancel()
+            self._waiting_to_read = None
+
     def resume(self) -> None:
+        self._read_on()
         if self._sock is not None and not self._reading and self.state is not State.OPENING:
             self._loop.add_reader(self.fd, self._readable)
             self._reading = True
@@ -248,6 +341,10 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
+        if self._waiting_to_write is not None:
+            self._waiting_to_write.cancel()
+            self._waiting_to_write = None
+        self._read_on()
         if self._reading:
             self._loop.remove_reader(self.fd)
         if self._writing:
@@ -256,7 +353,8 @@
         self.fd = -1
         self.conversation, self._poll = None, None
         self._unsent = []
-        sock.close()
+        with contextlib.suppress(OSError):  # the descriptor is gone whatever the call says (close(2))
+            sock.close()
 
     def abandon(self) -> None:
         """Let go of a descriptor that is not this object's any more, without closing what it is now."""
@@ -269,7 +367,7 @@
         conversation = self.conversation
         self.close()
         if conversation is not None:
-            conversation.lost(False, False)
+            conversation.lost(False, False, False)
 
 
 def _after(pieces: Sequence[bytes | memoryview], sent: int) -> list[bytes | memoryview]:
--- a/indigokeel/net/connections/manager.py
+++ b/indigokeel/net/connections/manager.py
@@ -3,18 +3,32 @@
 from __future__ import annotations
 
 import asyncio
-import errno
+import math
 from collections.abc import Callable
+from enum import Enum
 from random import Random
 
+from indigokeel.net.connections.backoff import Holds
 from indigokeel.net.connections.books import Books, Bounds, State
 from indigokeel.net.connections.circuit import Circuit
 from indigokeel.net.connections.link import Conversation, Link
 from indigokeel.net.connections.risk import IdleRisk
+from indigokeel.net.errors import LocalError
 
 Address = tuple[str, int]
-_NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 _CIRCUIT_KEPT = 30.0  # s after which what is known of a failing address is forgotten
+# s between two log lines on what this machine lacks, which may be met hundreds of times a second.
+_LOCAL_LOGGED = 1.0
+
+
+class NoConnection(Enum):
+    """Why there is none."""
+
+    UPSTREAM = "upstream"  # connects to it fail, or none came up in time
+    LOCAL = "local"  # this machine could not begin a connect for some of the time: the upstream may be well
+
+
+Ready = Callable[[Link | NoConnection], None]
 
 
 class Ticket:
@@ -22,9 +36,7 @@
 
     __slots__ = ("address", "node", "ready", "since", "timer")
 
-    def __init__(
-        self, node: str, address: Address, since: float, ready: Callable[[Link | None], None]
-    ) -> None:
+    def __init__(self, node: str, address: Address, since: float, ready: Ready) -> None:
         self.node, self.address, self.since, self.ready = node, address, since, ready
         self.timer: asyncio.Handle | None = None
 
@@ -55,6 +67,8 @@
         self._circuits: dict[tuple[str, Address], Circuit] = {}
         self._began: dict[Link, float] = {}  # when those that are opening did
         self._pumping = False
+        self._holds = Holds(self._random)
+        self._local_logged = -math.inf
 
     def reconfigure(self, connect_timeout: float, idle_most: float) -> None:
         """Take other times, in seconds."""
@@ -67,12 +81,13 @@
         node: str,
         address: Address,
         patience: float,
-        ready: Callable[[Link | None], None],
+        ready: Ready,
         unsafe: bool = False,
     ) -> Link | Ticket:
         """A connection to ``node`` for one call: at once where one is free, else a ticket, whose ``ready``
-        is called once, later: with a connection, or with None where none came up within ``patience``
-        seconds. An ``unsafe`` job gets none that may break under it."""
+        is called once, later: with a connection, or with the reason where none came up within ``patience``
+        seconds. While this machine cannot begin a connect, it tries again, with a backoff, all that time. An
+        ``unsafe`` job gets none that may break under it."""
         link = self._free(node, address, unsafe)
         if link is not None:
             link.calls += 1
@@ -97,6 +112,11 @@
         if self._leave(ticket):
             self._drop_surplus(ticket, failed=False)
 
+    def held_back(self, ticket: Ticket) -> bool:
+        """Whether this machine could not begin a connect for some of the time of a wait, so that it tells
+        nothing of the upstream."""
+        return self._holds.any_since(ticket.node, ticket.since)
+
     def give_back(self, link: Link, clean: bool) -> None:
         """A call on a connection is over. It is kept, for who waits first, where it is ``clean``."""
         link.calls -= 1
@@ -136,7 +156,8 @@
     def warm(self, node: str, address: Address) -> None:
         """Open a connection ahead of the first claim, where there is room and none yet."""
         taken = self.books.count(node, State.IDLE) + self.books.count(node, State.OPENING)
-        if not taken and not self.books.count(node, State.IN_USE) and not self.books.full():
+        free = not self.books.full() and not self._holds.active(node)
+        if not taken and not self.books.count(node, State.IN_USE) and free:
             circuit = self._circuits.get((node, address))
             if circuit is None and self._open(node, address):
                 self._count("connections_warmed")
@@ -147,6 +168,7 @@
             self.close(old)
         for key in [k for k, c in self._circuits.items() if now > c.open_until + _CIRCUIT_KEPT]:
             del self._circuits[key]
+        self._holds.forget(now - _CIRCUIT_KEPT)
 
     def idle(self) -> int:
         """How many connections stand idle."""
@@ -183,12 +205,17 @@
         opening = link.state is State.OPENING
         if link.state is not State.CLOSED:
             self._strike(link)
-        if opening:
+        if opening and isinstance(error, LocalError):
+            circuit = self._circuits.get((link.node, link.address))
+            if circuit is not None:
+                circuit.called_off()
+            self._hold(link.node, error)
+        elif opening:
             self._count("connects_failed")
             self._connect_failed(link)
             ticket = self._first(link)
             if ticket is not None and self._leave(ticket):
-                self._tell(ticket, None)
+                self._tell(ticket, NoConnection.UPSTREAM)
             self._fail_if_hopeless(link.node)
         self._pump_all()
 
@@ -237,7 +264,8 @@
         return None
 
     def _open(self, node: str, address: Address) -> bool:
-        """Begin a connect, if it can be had."""
+        """Begin a connect, if it can be had. Where it is this machine that cannot, none begins to there for a
+        moment."""
         if self.books.full():
             oldest = self.books.oldest_idle()
             if oldest is None:
@@ -248,26 +276,52 @@
             link = Link(asyncio.get_running_loop(), self, node, address)
             try:
                 link.open(self._connect_timeout)
-            except OSError as error:
+            except LocalError as error:
                 oldest = self.books.oldest_idle()
-                if error.errno in _NO_DESCRIPTOR:
-                    self._count("descriptors_run_out")
-                    self._log("error", f"no descriptor for a connection: {error}")
-                    if not last and oldest is not None:
-                        self._shed(oldest)
-                        continue
-                else:
-                    self._count("connects_failed")
-                    self._connect_failed(link)
+                if error.exhausted and not last and oldest is not None:
+                    self._tell_operators(node, error)
+                    self._shed(oldest)
+                    continue
+                self._hold(node, error)
+                return False
+            except OSError:
+                self._count("connects_failed")
+                self._connect_failed(link)
                 return False
             break
         self.books.move(link, State.OPENING)
         self._began[link] = self._clock()
+        self._holds.begun(node)
         circuit = self._circuits.get((node, address))
         if circuit is not None:
             circuit.began()
         return True
 
+    def _hold(self, node: str, error: LocalError) -> None:
+        """This machine could not connect. Nothing is booked for the upstream; who waits goes on waiting, and
+        the connect is made again after a backoff."""
+        self._tell_operators(node, error)
+        where = None if error.exhausted else node
+        delay = self._holds.start(self._clock(), where)
+        asyncio.get_running_loop().call_later(delay, self._release, where)
+
+    def _tell_operators(self, node: str, error: LocalError) -> None:
+        """Count what this machine lacks, and log it now and then."""
+        self._count("descriptors_run_out" if error.exhausted else "connects_without_a_way")
+        now = self._clock()
+        if now - self._local_logged >= _LOCAL_LOGGED:
+            self._local_logged = now
+            what = "no descriptor for a connection" if error.exhausted else f"no way from here to {node}"
+            self._log("error", f"{what}: {error}")
+
+    def _release(self, node: str | None) -> None:
+        """The backoff is over: connects to ``node``, or to any, may begin again."""
+        self._holds.release(self._clock(), node)
+        if node is None:
+            self._pump_all()
+        else:
+            self._pump(node)
+
     def _connect_failed(self, link: Link) -> None:
         key = link.node, link.address
         circuit = self._circuits.get(key)
@@ -304,7 +358,7 @@
             link.calls += 1
             self._tell(ticket, link)
 
-    def _tell(self, ticket: Ticket, link: Link | None) -> None:
+    def _tell(self, ticket: Ticket, link: Link | NoConnection) -> None:
         if ticket.timer is not None:
             ticket.timer.cancel()
             ticket.timer = None
@@ -312,14 +366,14 @@
             ticket.ready(link)
         except Exception as error:  # costs this call
             self.fault(error)
-            if link is not None:
+            if isinstance(link, Link):
                 self.give_back(link, False)
 
     def _tell_soon(self, ticket: Ticket) -> None:
         """Tell that there is none, a little later: whoever is at work now may be deep in its own books."""
         if ticket.timer is not None:
             ticket.timer.cancel()
-        ticket.timer = asyncio.get_running_loop().call_soon(self._tell, ticket, None)
+        ticket.timer = asyncio.get_running_loop().call_soon(self._tell, ticket, NoConnection.UPSTREAM)
 
     def _leave(self, ticket: Ticket) -> bool:
         """Take a ticket out of its queue; False where it was out already."""
@@ -337,8 +391,9 @@
             if ticket in self._waiting.get(ticket.node, ()):
                 link.settle()  # it may be up, and the loop too late to say so
         if self._leave(ticket):
-            self._drop_surplus(ticket, failed=True)
-            self._tell(ticket, None)
+            local = self.held_back(ticket)
+            self._drop_surplus(ticket, failed=not local)
+            self._tell(ticket, NoConnection.LOCAL if local else NoConnection.UPSTREAM)
 
     def _drop_surplus(self, ticket: Ticket, failed: bool) -> None:
         """One waits less: of the connects that are out for the node one may be too many."""
@@ -374,6 +429,8 @@
             tickets = self._waiting.get(node)
             if not tickets or self.books.count(node, State.OPENING) * self._calls >= len(tickets):
                 return
+            if self._holds.active(node):
+                return
             ticket = next(iter(tickets))
             circuit = self._circuits.get((node, ticket.address))
             if circuit is not None and not circuit.allows(self._clock()):
@@ -386,8 +443,10 @@
                 return
 
     def _all_taken(self, node: str) -> bool:
-        """Whether something may come free for who waits: bounds are reached, or connects are out."""
-        return self.books.full() or not self.books.room(node) or bool(self.books.count(node, State.OPENING))
+        """Whether something may come free for who waits: bounds are reached, connects are out, or this
+        machine is to try again."""
+        out = bool(self.books.count(node, State.OPENING)) or self._holds.active(node)
+        return out or self.books.full() or not self.books.room(node)
 
     def _pump_all(self) -> None:
         """A connection has gone: there may be room for those who wait."""
--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -9,7 +9,6 @@
 import errno
 import fcntl
 import math
-import os
 import select
 import socket
 import sys
@@ -37,16 +36,23 @@
 
 def readable(fd: int) -> bool:
     """Whether a read would find something now: bytes, or the end of the stream."""
-    poll = select.poll()
-    poll.register(fd, select.POLLIN)
-    return bool(poll.poll(0))
+    return _polled(fd, select.POLLIN)
 
 
 def hung_up(fd: int) -> bool:
     """Whether the peer has closed its side or reset the connection, whatever can be read before that."""
+    return _polled(fd, select.POLLRDHUP)
+
+
+def _polled(fd: int, events: int) -> bool:
+    """Whether the system tells any of some events, or an error, now. One that has no memory to look with
+    tells nothing: what is asked here is asked again."""
     poll = select.poll()
-    poll.register(fd, select.POLLRDHUP)
-    return bool(poll.poll(0))
+    poll.register(fd, events)
+    try:
+        return bool(poll.poll(0))
+    except OSError:
+        return False
 
 
 def unsent(fd: int) -> int:
@@ -57,17 +63,6 @@
         return 0
 
 
-def write(fd: int, pieces: Sequence[bytes]) -> int:
-    """Write at once what the system takes, and say how many bytes that was; raises OSError on a broken
-    connection. Beside the event loop, which writes a little later and does not tell how far it came."""
-    try:
-        return os.writev(fd, pieces)
-    except OSError as error:
-        if error.errno in (errno.EAGAIN, errno.EINTR):
-            return 0
-        raise
-
-
 class MalformedError(Exception):
     """A message that cannot be taken; ``status`` is what its sender is told."""
 
--- a/indigokeel/net/pool.py
+++ b/indigokeel/net/pool.py
@@ -5,12 +5,16 @@
 import asyncio
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
 
 from indigokeel.facade import Facade
 from indigokeel.net import http
 from indigokeel.net.bodies import Stream, Upload
-from indigokeel.net.connections import Bounds, Connections, Link, Ticket
+from indigokeel.net.connections import Bounds, Connections, Link, NoConnection, Ticket
+from indigokeel.net.connections.backoff import Backoff
 from indigokeel.net.counters import Counters
+from indigokeel.net.errors import LocalError
 from indigokeel.net.exchange import Exchange, Reply, Task, UnsoundError
 from indigokeel.orders import Claim, Outcome
 
@@ -23,6 +27,9 @@
 # Of a claim's time, that its connection may take to come up, and the least of that in s. Guards against
 # machines that are gone without a word: what was never written may go elsewhere, while there is time for it.
 _CONNECT_PART, _CONNECT_LEAST = 0.35, 0.02
+# Of an attempt's time, that its connection may take at most, however short that is: who waits is told before
+# the time is over, or a wait that was this machine's own fault would pass for an upstream's silence.
+_CONNECT_MOST = 0.7
 
 Done = Callable[[Claim, Reply], None]
 
@@ -51,17 +58,26 @@
     ) -> None:
         """Write a message and have ``done`` called with what comes of it, and whether the connection is
         clean after it; never before this returns. Where the answer is long, ``begun`` is called with it
-        first, and ``done`` at its end. ``upload`` follows the pieces."""
-        self._exchange, self._done, self._begun = Exchange(), done, begun
+        first, and ``done`` at its end. ``upload`` follows the pieces.
+
+        Raises LocalError where this machine cannot write now: nothing was written, and ``done`` is not
+        called."""
+        exchange = Exchange()
+        written = self._link.begin(pieces)
+        self._exchange, self._done, self._begun = exchange, done, begun
         self._stream, self._upload = None, upload
-        self.write(pieces)
+        if not written:
+            self._broken()
         if upload is not None:
             upload.attach(self)
 
     def write(self, pieces: list[bytes]) -> None:
         if not self._link.say(pieces):
-            # Not all of it was written, so it cannot have run.
-            asyncio.get_running_loop().call_soon(self._finish, Reply(Outcome.NO_CONNECTION))
+            self._broken()
+
+    def _broken(self) -> None:
+        """Not all of the message was written, so it cannot have run."""
+        asyncio.get_running_loop().call_soon(self._finish, Reply(Outcome.NO_CONNECTION))
 
     def clear(self) -> bool:
         return not self._link.spent()
@@ -88,12 +104,15 @@
         if exchange.complete:
             self._finish(exchange.reply(), exchange.clean)
 
-    def lost(self, unsent: bool, ended: bool) -> None:
+    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
         if ended and self._exchange is not None and self._exchange.ends_here():
             self._finish(self._exchange.reply())
             return
         unsent = unsent or (self._upload is not None and not self._upload.passed)
-        self._finish(Reply(Outcome.NO_CONNECTION if unsent else Outcome.BROKEN))
+        if unsent and local:  # it cannot have run, and it was not the upstream that failed
+            self._finish(Reply(Outcome.MOOT))
+        else:
+            self._finish(Reply(Outcome.NO_CONNECTION if unsent else Outcome.BROKEN))
 
     def _finish(self, reply: Reply, clean: bool = False) -> None:
         done, self._exchange, self._done, self._begun = self._done, None, None, None
@@ -107,6 +126,21 @@
             done(reply, clean)
 
 
+@dataclass(slots=True)
+class _Attempt:
+    """An attempt on its way to its first byte."""
+
+    claim: Claim
+    task: Task
+    done: Done
+    patience_until: float  # clock time; when a connection must have come up and taken the first byte
+    backoff: Backoff | None = None  # between the writes that this machine could not make
+
+    @property
+    def key(self) -> tuple[str, int]:
+        return self.claim.job, self.claim.number
+
+
 class Pool:
     """Claims on their way to execute nodes, over the connections kept for them."""
 
@@ -150,33 +184,44 @@
     def start(self, claim: Claim, task: Task, done: Done) -> None:
         """Carry a claim through. ``done`` is called once, unless the claim is given up before; never
         before this returns."""
-        key = claim.job, claim.number
+        now = time.monotonic()
+        left = claim.until - now
+        patience = max(left * _CONNECT_PART, min(_CONNECT_LEAST, left * _CONNECT_MOST))
+        self._connect(_Attempt(claim, task, done, now + min(self._connect_timeout, patience)), now)
+
+    def _connect(self, attempt: _Attempt, now: float) -> None:
+        """Have a connection for an attempt."""
+        claim = attempt.claim
         address = self._facade.address(claim.node)
         if address is None:
-            self._end_soon(claim, Reply(Outcome.MOOT), done)
+            self._end_soon(claim, Reply(Outcome.MOOT), attempt.done)
             return
-        left = (claim.until - time.monotonic()) * _CONNECT_PART
-        patience = min(self._connect_timeout, max(left, _CONNECT_LEAST))
 
-        def ready(link: Link | None) -> None:
-            if link is None:
-                self._ended(claim, Reply(Outcome.NO_CONNECTION), done)
+        def ready(found: Link | NoConnection) -> None:
+            if isinstance(found, Link):
+                self._send(found, attempt)
             else:
-                self._send(link, claim, task, done)
+                outcome = Outcome.MOOT if found is NoConnection.LOCAL else Outcome.NO_CONNECTION
+                self._ended(claim, Reply(outcome), attempt.done)
 
-        found = self.connections.borrow(claim.node, address, patience, ready, task.unsafe)
+        patience = max(attempt.patience_until - now, 0.0)
+        found = self.connections.borrow(claim.node, address, patience, ready, attempt.task.unsafe)
         if isinstance(found, Link):
-            self._send(found, claim, task, done)
+            self._send(found, attempt)
         else:
-            self._out[key] = found
+            self._out[attempt.key] = found
 
-    def _send(self, link: Link, claim: Claim, task: Task, done: Done) -> None:
+    def _send(self, link: Link, attempt: _Attempt) -> None:
         # The node may have begun to drain or moved, or the job be over, while the connection came up.
+        claim, task, done = attempt.claim, attempt.task, attempt.done
         now = time.monotonic()
         age = now - link.idle_since if link.idle_since > 0.0 else -1.0
-        moved = self._facade.address(claim.node) != link.address
+        moved = self._moved(link)
         if task.left():
             self.connections.give_back(link, not moved)
+            # That ends an attempt that was not begun; one whose write failed here counts as begun.
+            if attempt.backoff is not None and self._facade.knows(claim.job):
+                self._end_soon(claim, Reply(Outcome.MOOT), done)
             return
         if moved or not self._facade.begin(now, claim):
             self.connections.give_back(link, not moved)
@@ -198,8 +243,7 @@
             head += b"Transfer-Encoding: chunked\r\n"
         elif task.has_body:
             head += b"Content-Length: %d\r\n" % (upload.length if upload else sum(map(len, task.body)))
-        self._counters.add("claims_sent")
-        self._out[claim.job, claim.number] = link
+        body = task.body if task.has_body and upload is None else []
 
         served = False  # by an answer that is still coming
 
@@ -225,15 +269,38 @@
             if not served:
                 self._ended(claim, reply, done)
 
-        body = task.body if task.has_body and upload is None else []
-        talk.ask([head + b"\r\n", *body], finished, begun, upload)
+        try:
+            talk.ask([head + b"\r\n", *body], finished, begun, upload)
+        except LocalError as error:
+            self._counters.add("writes_not_begun")
+            self.connections.give_back(link, True)
+            self._write_later(attempt, error)
+            return
+        self._counters.add("claims_sent")
+        self._out[attempt.key] = link
+
+    def _write_later(self, attempt: _Attempt, error: LocalError) -> None:
+        """This machine could not write the first byte of an attempt: it is made again, from the start, after
+        a backoff, while there is time to wait for a connection."""
+        attempt.backoff = attempt.backoff or Backoff(Random())
+        delay = attempt.backoff.next()
+        if time.monotonic() + delay >= attempt.patience_until:
+            self._counters.log(f"an attempt was not begun: {error}", "warning")
+            self._end_soon(attempt.claim, Reply(Outcome.MOOT), attempt.done)
+            return
+        self._out[attempt.key] = asyncio.get_running_loop().call_later(
+            delay, lambda: self._connect(attempt, time.monotonic())
+        )
+
+    def _moved(self, link: Link) -> bool:
+        """Whether an upstream wants nothing new any more, or listens elsewhere than a connection leads."""
+        return self._facade.address(link.node) != link.address
 
     def _rested(self, link: Link, talk: Talk) -> None:
         """Nothing more has come on a connection since its answer, or it has been closed meanwhile."""
         if talk.strays:
             self._counters.add("stray_answers")
-        clean = not talk.strays and self._facade.address(link.node) == link.address
-        self.connections.give_back(link, clean)
+        self.connections.give_back(link, not talk.strays and not self._moved(link))
 
     def _end_soon(self, claim: Claim, reply: Reply, done: Done) -> None:
         self._out[claim.job, claim.number] = asyncio.get_running_loop().call_soon(
@@ -286,7 +353,7 @@
         if address is None:
             return Outcome.MOOT, None
         loop = asyncio.get_running_loop()
-        up: asyncio.Future[Link | None] = loop.create_future()
+        up: asyncio.Future[Link | NoConnection] = loop.create_future()
         answer: asyncio.Future[tuple[Reply, bool]] = loop.create_future()
         clean, talk = False, None
         found = self.connections.borrow(
@@ -296,29 +363,37 @@
         try:
             async with asyncio.timeout(_PROBE_TIME):
                 if link is None:
-                    link = await up
-                if link is None:
-                    return Outcome.NO_CONNECTION, None
+                    came = await up
+                    if not isinstance(came, Link):
+                        return Outcome.MOOT if came is NoConnection.LOCAL else Outcome.NO_CONNECTION, None
+                    link = came
                 assert isinstance(link.conversation, Talk)
                 talk = link.conversation
+                question = b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % talk.host
                 talk.ask(
-                    [b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % talk.host],
+                    [question],
                     lambda *answered: None if answer.done() else answer.set_result(answered),
                 )
                 reply, clean = await answer
+        except LocalError:
+            return Outcome.MOOT, None
         except TimeoutError:
-            return Outcome.NO_CONNECTION if link is None else Outcome.TIMED_OUT, None
+            if link is not None:
+                return Outcome.TIMED_OUT, None
+            held_back = isinstance(found, Ticket) and self.connections.held_back(found)
+            return Outcome.MOOT if held_back else Outcome.NO_CONNECTION, None
         finally:
             # Given up at the very step at which it came up, it is in the future and must not stay there.
             if link is None and up.done() and not up.cancelled():
-                link = up.result()
+                came = up.result()
+                link = came if isinstance(came, Link) else None
             if link is not None and talk is not None and clean:
                 loop.call_later(_REST, self._rested, link, talk)
             elif link is not None:
                 self.connections.close(link)
             elif isinstance(found, Ticket):
                 self.connections.cancel(found)
-        if reply.outcome in (Outcome.BROKEN, Outcome.NO_CONNECTION):
+        if reply.outcome in (Outcome.BROKEN, Outcome.NO_CONNECTION, Outcome.MOOT):
             return reply.outcome, None
         if reply.outcome is not Outcome.SERVED:
             # 503 is the one other answer to a probe: not now, which is no fault of the node.
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from indigokeel.net.connections import Audit, Bounds, Connections, Link, State, Ticket
+from indigokeel.net.connections import Audit, Bounds, Connections, Link, NoConnection, State, Ticket
 from indigokeel.net.connections.audit import sockets
 from indigokeel.net.connections.books import Books
 from indigokeel.net.connections.circuit import FAILURES, Circuit
@@ -43,7 +43,7 @@
 
     def drained(self) -> None: ...
 
-    def lost(self, unsent: bool, ended: bool) -> None:
+    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
         self.ended += 1
 
 
@@ -90,7 +90,7 @@
             lambda level, text: self.logged.append((level, text)),
             lambda: self.now,
         )
-        self.ready: list[Link | None] = []
+        self.ready: list[Link | NoConnection] = []
 
     def run(self, call: Callable[[], object]) -> object:
         async def inside() -> object:
@@ -110,7 +110,7 @@
     def borrow(
         self, node: str = "up", patience: float = 5.0, unsafe: bool = False, faulty: bool = False
     ) -> Link | Ticket:
-        def ready(link: Link | None) -> None:
+        def ready(link: Link | NoConnection) -> None:
             self.ready.append(link)
             if faulty:
                 raise RuntimeError("a fault in who waits")
@@ -127,7 +127,7 @@
             return found
         self.until(lambda: len(self.ready) > before)
         link = self.ready[-1]
-        assert link is not None
+        assert isinstance(link, Link)
         return link
 
     def until(self, condition: Callable[[], bool]) -> None:
@@ -172,7 +172,7 @@
         self.asked = 0
 
     def _taken(self) -> None:
-        self.links += [link for link in self.world.ready if link is not None]
+        self.links += [link for link in self.world.ready if isinstance(link, Link)]
         self.world.ready.clear()
 
     @rule(
@@ -330,7 +330,7 @@
 
     assert world.run(crowd) == 1  # half open: one trial for all
     world.until(lambda: len(world.ready) >= 4)
-    assert all(link is not None for link in world.ready)
+    assert all(isinstance(link, Link) for link in world.ready)
     server.close()
     world.agrees()
 
@@ -342,7 +342,7 @@
         world.until(lambda: not world.connections.waiting())
     world.ready.clear()
     world.borrow("silent", 60.0)
-    world.until(lambda: world.ready == [None])
+    world.until(lambda: world.ready == [NoConnection.UPSTREAM])
     assert world.counts["connects_not_tried"] == 1 and len(world.connections.books) == 0
 
 
@@ -363,7 +363,7 @@
     world.accept()
     told: list[bool] = []
     assert isinstance(link.conversation, Echo)
-    link.conversation.lost = lambda unsent, ended: told.append(unsent)  # type: ignore[method-assign]
+    link.conversation.lost = lambda unsent, ended, local: told.append(unsent)  # type: ignore[method-assign]
     assert link.say([b"x" * 60_000] * 400) and link.spent()
     world.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
     world.accepted.pop().close()
@@ -387,7 +387,8 @@
 
 
 def test_descriptors_that_run_out_within_an_open(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An idle connection makes room; without one the wait ends at once, and the operators are told."""
+    """An idle connection makes room; without one the wait goes on, for nothing of the node has failed, and
+    the operators are told. With none until its patience is over, it ends, and says whose fault that was."""
     idle = world.link()
     world.run(lambda: world.connections.give_back(idle, True))
     real, left = socket.socket, [0]
@@ -404,8 +405,15 @@
     left[0] = -9
     world.ready.clear()
     world.borrow("up")
-    world.until(lambda: world.ready[-1:] == [None])
+    assert world.connections.waiting() == 1
+    world.until(lambda: bool(world.ready))
+    assert isinstance(world.ready[-1], Link) and left[0] == 1  # at the eleventh try, and no more after it
     assert ("error" in {level for level, _ in world.logged}) and world.connections.waiting() == 0
+    left[0] = -1000
+    world.borrow("up", 0.01)
+    world.until(lambda: world.ready[-1] is NoConnection.LOCAL)
+    assert world.connections.waiting() == 0
+    assert world.counts["connects_failed"] == 1  # the one to the node that refuses
     monkeypatch.undo()
     world.agrees()
 
@@ -418,7 +426,7 @@
     world.addresses["up"] = server.getsockname()
     found = world.borrow()
     assert isinstance(found, Ticket) and link.state is State.CLOSED
-    world.until(lambda: bool(world.ready) and world.ready[-1] is not None)
+    world.until(lambda: bool(world.ready) and isinstance(world.ready[-1], Link))
     server.close()
 
 
@@ -557,7 +565,7 @@
 
     world.run(late)
     world.until(lambda: bool(world.ready))
-    assert world.ready[0] is not None and not world.counts["connects_failed"]
+    assert isinstance(world.ready[0], Link) and not world.counts["connects_failed"]
 
 
 def test_audit_never_shuts_a_listener_that_others_may_share(world: World) -> None:
--- /dev/null
+++ b/tests/test_errno.py
@@ -0,0 +1,292 @@
+"""Errors of system calls on upstream connections: which are this machine's own, which an upstream's, and
+which are none. Forced at the call itself, in this process or, by ``sitecustomize``, in the program's."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import errno
+import os
+import socket
+import time
+from collections.abc import Callable, Iterator
+from concurrent.futures import ThreadPoolExecutor
+from pathlib import Path
+from typing import Any
+
+import pytest
+import uvloop
+
+from indigokeel.config import decode_settings
+from indigokeel.facade import Facade
+from indigokeel.machine_list import machine_list
+from indigokeel.net.connections import Link, NoConnection
+from indigokeel.net.counters import Counters
+from indigokeel.net.errors import Meaning, Step, meaning
+from indigokeel.net.exchange import Task
+from indigokeel.net.pool import Pool
+from indigokeel.orders import Job, Outcome
+from tests import peers
+from tests.test_connections import Echo, World
+
+LOCAL, UPSTREAM, GOES_ON = Meaning.LOCAL, Meaning.UPSTREAM, Meaning.GOES_ON
+EXHAUSTED = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+ROUTES = [errno.ENETUNREACH, errno.EHOSTUNREACH]
+BREAKS = [errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, *ROUTES]
+
+
+def faulty(call: Callable[..., Any], number: int, times: int) -> Callable[..., Any]:
+    """A system call that fails so many times before it is made."""
+    left = [times]
+
+    def failing(*args: Any) -> Any:
+        if left[0] > 0:
+            left[0] -= 1
+            raise OSError(number, os.strerror(number))
+        return call(*args)
+
+    return failing
+
+
+@pytest.fixture
+def world() -> Iterator[World]:
+    made = World()
+    yield made
+    made.end()
+
+
+@pytest.mark.parametrize(
+    ("step", "numbers", "found"),
+    [
+        (Step.PREPARE, [*EXHAUSTED, errno.EACCES], LOCAL),
+        (Step.CONNECT, [*EXHAUSTED, *ROUTES, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EPERM], LOCAL),
+        (Step.CONNECT, [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET, None], UPSTREAM),
+        (Step.CONNECT, [0, errno.EINPROGRESS, errno.EALREADY], GOES_ON),
+        (Step.CONNECTING, [*ROUTES, errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET], UPSTREAM),
+        (Step.CONNECTING, [errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL], LOCAL),
+        (Step.WRITE, BREAKS, UPSTREAM),
+        (Step.WRITE, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
+        (Step.READ, BREAKS, UPSTREAM),
+        (Step.READ, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
+        *((step, [errno.EINTR], GOES_ON) for step in Step),
+        *((step, [errno.EAGAIN], GOES_ON) for step in (Step.CONNECTING, Step.WRITE, Step.READ)),
+    ],
+)
+def test_table(step: Step, numbers: list[int | None], found: Meaning) -> None:
+    assert {meaning(number, step) for number in numbers} == {found}
+
+
+def break_open(step: str, number: int, times: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Have one of the calls that an open consists of fail."""
+    if step == "fstat":
+        monkeypatch.setattr("os.fstat", faulty(os.fstat, number, times))
+    elif step == "socket":
+        real_socket = socket.socket
+        scarce = faulty(real_socket, number, times)
+        monkeypatch.setattr(
+            "socket.socket",  # a connection's, and none of the event loop's own
+            lambda *args: (scarce if args[:1] == (socket.AF_INET,) and len(args) == 2 else real_socket)(
+                *args
+            ),
+        )
+    elif step in ("connect", "interrupted"):
+        real, left = socket.socket.connect_ex, [times]
+
+        def connect_ex(sock: socket.socket, address: Any) -> int:
+            left[0] -= 1
+            if left[0] < 0:
+                return real(sock, address)
+            return number if step == "connect" else real(sock, address) and number
+
+        monkeypatch.setattr(socket.socket, "connect_ex", connect_ex)
+    else:
+        failing = faulty(getattr(socket.socket, step), number, times)
+        if step == "getsockopt":  # the error that a connect under way has ended with
+
+            def told(sock: socket.socket, *args: int) -> int:
+                try:
+                    return int(failing(sock, *args))
+                except OSError as error:
+                    return error.errno or 0
+
+            monkeypatch.setattr(socket.socket, step, told)
+        else:
+            monkeypatch.setattr(socket.socket, step, failing)
+
+
+OPENS = [
+    *(("socket", number, LOCAL) for number in EXHAUSTED),
+    *(("setsockopt", number, LOCAL) for number in (errno.ENOBUFS, errno.ENOMEM)),
+    ("fstat", errno.ENOMEM, LOCAL),
+    *(("connect", number, LOCAL) for number in (errno.EADDRNOTAVAIL, *ROUTES, errno.ENOBUFS, errno.EAGAIN)),
+    ("connect", errno.ECONNREFUSED, UPSTREAM),
+    ("interrupted", errno.EINTR, GOES_ON),
+    *(("getsockopt", number, LOCAL) for number in (errno.EADDRNOTAVAIL, errno.ENOMEM)),
+    *(("getsockopt", number, UPSTREAM) for number in (*ROUTES, errno.ETIMEDOUT, errno.ECONNREFUSED)),
+    ("getsockopt", errno.EINTR, GOES_ON),
+]
+
+
+@pytest.mark.parametrize(("step", "number", "found"), OPENS)
+def test_open(world: World, monkeypatch: pytest.MonkeyPatch, step: str, number: int, found: Meaning) -> None:
+    """Six failures: for an upstream as many as open its circuit, for this machine a wait, else nothing."""
+    break_open(step, number, 6, monkeypatch)
+    for _ in range(6):
+        world.borrow()
+        world.until(lambda: not world.connections.waiting())
+        world.step(2)
+    monkeypatch.undo()
+    came_up = sum(isinstance(link, Link) for link in world.ready)
+    assert came_up == (0 if found is UPSTREAM else 6)
+    assert world.counts["circuits_opened"] == (found is UPSTREAM)
+    assert bool(world.counts["connects_failed"]) == (found is UPSTREAM)
+    world.agrees()
+
+
+@pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENFILE, errno.EHOSTUNREACH])
+def test_wait_that_ends_over_an_error_of_this_machine_says_so(
+    world: World, monkeypatch: pytest.MonkeyPatch, number: int
+) -> None:
+    """And blames nobody, also where a connect began at last and had no time left."""
+    break_open("connect", number, 10**6, monkeypatch)
+    world.borrow(patience=0.03)
+    world.until(lambda: world.ready == [NoConnection.LOCAL])
+    monkeypatch.undo()
+    break_open("connect", number, 2, monkeypatch)
+    world.borrow("silent", 0.1)
+    world.until(lambda: len(world.ready) == 2)
+    assert world.ready[1] is NoConnection.LOCAL and not world.counts["connects_failed"]
+
+
+@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
+def test_bytes_are_whole_and_in_order_over_calls_that_fail(
+    world: World, monkeypatch: pytest.MonkeyPatch, number: int
+) -> None:
+    link = world.link()
+    world.accept()
+    peer, echo, got = world.accepted[0], link.conversation, bytearray()
+    assert isinstance(echo, Echo)
+    peer.setblocking(False)
+    pieces = [bytes([i % 251]) * 301 for i in range(5000)]  # more than a system takes in one call
+    monkeypatch.setattr("os.writev", faulty(os.writev, number, 5))
+    assert link.say(pieces)
+    while len(got) < 301 * 5000:
+        world.step()
+        with contextlib.suppress(BlockingIOError):
+            got += peer.recv(1 << 20)
+    assert got == b"".join(pieces) and not link.spent()
+    monkeypatch.setattr(socket.socket, "recv", faulty(socket.socket.recv, number, 5))
+    peer.send(b"heard")
+    world.until(lambda: echo.heard_all == b"heard")
+    assert echo.ended == 0 and not world.counts["connection_faults"]
+
+
+def play(scripts: int, work: Callable[[Pool, Facade, Counters], Any]) -> tuple[Any, list[peers.Peer]]:
+    """Run something on a pool before upstreams that serve."""
+    nodes = [peers.Peer(peers.echo) for _ in range(scripts)]
+    facade, counters = Facade(decode_settings(peers.SETTINGS), 1, 0.0), Counters("t")
+    entries = [peers.entry(f"s-{i}", node.port) for i, node in enumerate(nodes)]
+    facade.listed(0.0, machine_list(peers.machine_list(*entries)))
+
+    async def inside() -> Any:
+        return await work(Pool(facade, counters, 0.25, 30.0, 32), facade, counters)
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        found = runner.run(inside())
+    for node in nodes:
+        node.close()
+    return found, nodes
+
+
+async def attempt(pool: Pool, facade: Facade, name: str, body: list[bytes]) -> Outcome:
+    """One attempt at a request of an unsafe class."""
+    claim = facade.pick(time.monotonic(), Job(name, "pay", 60.0)).claims[0]
+    done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+    task = Task(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
+    pool.start(claim, task, lambda _, reply: done.set_result(reply.outcome))
+    return await done
+
+
+@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
+@pytest.mark.parametrize(("times", "outcome", "got"), [(3, Outcome.SERVED, 1), (10**6, Outcome.MOOT, 0)])
+def test_first_write_that_this_machine_cannot_make(
+    monkeypatch: pytest.MonkeyPatch, number: int, times: int, outcome: Outcome, got: int
+) -> None:
+    """Nothing of it was written, so it is made again, and never ran where that does not help."""
+
+    async def work(pool: Pool, facade: Facade, counters: Counters) -> int:
+        monkeypatch.setattr("os.writev", faulty(os.writev, number, times))
+        assert await attempt(pool, facade, "j", [b"body"]) is outcome
+        return counters["writes_not_begun"]
+
+    tries, nodes = play(1, work)
+    assert len(nodes[0].got) == got and tries >= 3
+
+
+def test_partly_written_attempt_that_this_machine_cannot_go_on_with(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Its last byte was never written: it did not run, and the upstream has not failed."""
+    real, calls = os.writev, [0]
+
+    def writev(fd: int, pieces: list[bytes]) -> int:
+        calls[0] += 1
+        if calls[0] > 1:
+            raise OSError(errno.ENOBUFS, "no buffers")
+        return real(fd, [bytes(pieces[0])[:10]])
+
+    async def work(pool: Pool, facade: Facade, counters: Counters) -> None:
+        monkeypatch.setattr("os.writev", writev)
+        assert await attempt(pool, facade, "j", [b"body"]) is Outcome.MOOT
+
+    _, nodes = play(1, work)
+    assert calls[0] > 3 and not any(message.body for message in nodes[0].got)
+
+
+@pytest.mark.parametrize(("times", "outcome"), [(3, Outcome.SERVED), (10**6, Outcome.MOOT)])
+@pytest.mark.parametrize("step", ["connect", "write"])
+def test_probe_over_errors_of_this_machine(
+    monkeypatch: pytest.MonkeyPatch, step: str, times: int, outcome: Outcome
+) -> None:
+    if step == "write" and times == 3:
+        times, outcome = 1, Outcome.MOOT  # a probe is not made again: the next one comes soon
+
+    async def work(pool: Pool, facade: Facade, counters: Counters) -> None:
+        if step == "connect":
+            break_open("connect", errno.EADDRNOTAVAIL, times, monkeypatch)
+        else:
+            monkeypatch.setattr("os.writev", faulty(os.writev, errno.ENOBUFS, times))
+        assert (await pool.probe("s-0"))[0] is outcome
+        assert not counters["connects_failed"]
+
+    play(1, work)
+
+
+CUSTOM = """
+import socket
+real, left = socket.socket.connect_ex, [{times}]
+def connect_ex(sock, address):
+    if left[0] <= 0:
+        return real(sock, address)
+    left[0] -= 1
+    return {answer}
+socket.socket.connect_ex = connect_ex
+"""
+
+
+@pytest.mark.parametrize(
+    "answer",
+    [
+        *map(str, (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EMFILE, errno.ENOBUFS)),
+        f"real(sock, address) and {errno.EINTR}",  # a connect that goes on
+    ],
+)
+def test_connects_that_fail_here_cost_no_request_and_no_upstream(tmp_path: Path, answer: str) -> None:
+    """Found by forcing EADDRNOTAVAIL on 24 connects: most of 200 requests were refused, all four upstreams
+    had open circuits and some were in quarantine, though all were well."""
+    (tmp_path / "sitecustomize.py").write_text(CUSTOM.format(times=24, answer=answer))
+    with peers.running(tmp_path, *[peers.echo] * 4, PYTHONPATH=str(tmp_path)) as (program, nodes, _):
+        with ThreadPoolExecutor(16) as clients:
+            codes = list(clients.map(lambda _: program.ask(peers.job("pay", b"x"))[0], range(200)))
+        counts, log = program.counters(), program.log.read_text()
+    assert codes == [200] * 200 and sum(len(node.got) for node in nodes) == 200
+    assert not counts.get("circuits_opened") and not counts.get("connects_failed")
+    assert "quarantine" not in log
