--- a/indigokeel/net/pool.py
+++ b/indigokeel/net/pool.py
@@ -31,6 +31,7 @@
 # the time is over, or a wait that was this machine's own fault would pass for an upstream's silence.
 _CONNECT_MOST = 0.7
 
+Message = Callable[[], list[bytes] | None]
 Done = Callable[[Claim, Reply], None]
 
 
@@ -51,18 +52,23 @@
 
     def ask(
         self,
-        pieces: list[bytes],
+        message: Message,
         done: Callable[[Reply, bool], None],
         begun: Callable[[Reply], None] | None = None,
         upload: Upload | None = None,
-    ) -> None:
+    ) -> bool:
         """Write a message and have ``done`` called with what comes of it, and whether the connection is
         clean after it; never before this returns. Where the answer is long, ``begun`` is called with it
-        first, and ``done`` at its end. ``upload`` follows the pieces.
+        first, and ``done`` at its end. ``upload`` follows the message.
 
-        Raises LocalError where this machine cannot write now: nothing was written, and ``done`` is not
-        called."""
+        ``message`` is called right before the write, with nothing left to do between the two: whatever the
+        message rests on (the clock, the client, the list) is asked there. Where it gives None, nothing is
+        written and ``done`` is not called: False. So it is where this raises LocalError, for this machine
+        cannot write now."""
         exchange = Exchange()
+        pieces = message()
+        if pieces is None:
+            return False
         written = self._link.begin(pieces)
         self._exchange, self._done, self._begun = exchange, done, begun
         self._stream, self._upload = None, upload
@@ -70,6 +76,7 @@
             self._broken()
         if upload is not None:
             upload.attach(self)
+        return True
 
     def write(self, pieces: list[bytes]) -> None:
         if not self._link.say(pieces):
@@ -186,6 +193,9 @@
         before this returns."""
         now = time.monotonic()
         left = claim.until - now
+        if left <= 0.0:  # the process was held up: nobody was asked, so nobody has failed
+            self._end_soon(claim, Reply(Outcome.MOOT), done)
+            return
         patience = max(left * _CONNECT_PART, min(_CONNECT_LEAST, left * _CONNECT_MOST))
         self._connect(_Attempt(claim, task, done, now + min(self._connect_timeout, patience)), now)
 
@@ -212,38 +222,42 @@
             self._out[attempt.key] = found
 
     def _send(self, link: Link, attempt: _Attempt) -> None:
-        # The node may have begun to drain or moved, or the job be over, while the connection came up.
+        """Write an attempt on a connection, unless it may not go out any more: its node has begun to drain or
+        has moved, its client has left, its time is over."""
         claim, task, done = attempt.claim, attempt.task, attempt.done
-        now = time.monotonic()
-        age = now - link.idle_since if link.idle_since > 0.0 else -1.0
-        moved = self._moved(link)
-        if task.left():
-            self.connections.give_back(link, not moved)
-            # That ends an attempt that was not begun; one whose write failed here counts as begun.
-            if attempt.backoff is not None and self._facade.knows(claim.job):
-                self._end_soon(claim, Reply(Outcome.MOOT), done)
-            return
-        if moved or not self._facade.begin(now, claim):
-            self.connections.give_back(link, not moved)
-            self._end_soon(claim, Reply(Outcome.MOOT), done)
-            return
+        self._out.pop(attempt.key, None)
         talk = link.conversation
         assert isinstance(talk, Talk)
-        head = b"%s %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: %d\r\n" % (
+        front = b"%s %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nRequest-Timeout-Ms: " % (
             task.method,
             task.target,
             talk.host,
             task.id,
-            max(int((claim.until - now) * 1000.0), 1),
         )
-        if task.key is not None:
-            head += b"Idempotency-Key: %s\r\n" % task.key
+        rest = b"\r\n" if task.key is None else b"\r\nIdempotency-Key: %s\r\n" % task.key
         upload = task.upload
         if upload is not None and upload.length < 0:
-            head += b"Transfer-Encoding: chunked\r\n"
+            rest += b"Transfer-Encoding: chunked\r\n"
         elif task.has_body:
-            head += b"Content-Length: %d\r\n" % (upload.length if upload else sum(map(len, task.body)))
+            rest += b"Content-Length: %d\r\n" % (upload.length if upload else sum(map(len, task.body)))
+        rest += b"\r\n"
         body = task.body if task.has_body and upload is None else []
+        age, abandoned = -1.0, False
+
+        def message() -> list[bytes] | None:
+            # Called right before the write. The client is asked after the clock, for it allows the least
+            # delay: the process may be held up in between, and a deadline may be told 0.15 s too late, where
+            # an attempt must not begin 0.1 s after a close. What follows makes no call of the system.
+            nonlocal age, abandoned
+            now = time.monotonic()
+            left = int((claim.until - now) * 1000.0)
+            if link.idle_since > 0.0:
+                age = now - link.idle_since
+            pieces = [b"%s%d%s" % (front, left, rest), *body]
+            if task.left():
+                abandoned = True
+                return None
+            return pieces if left >= 1 and not self._moved(link) and self._facade.begin(now, claim) else None
 
         served = False  # by an answer that is still coming
 
@@ -270,14 +284,20 @@
                 self._ended(claim, reply, done)
 
         try:
-            talk.ask([head + b"\r\n", *body], finished, begun, upload)
+            if talk.ask(message, finished, begun, upload):
+                self._counters.add("claims_sent")
+                self._out[attempt.key] = link
+                return
         except LocalError as error:
             self._counters.add("writes_not_begun")
-            self.connections.give_back(link, True)
+            self.connections.give_back(link, not self._moved(link))
             self._write_later(attempt, error)
             return
-        self._counters.add("claims_sent")
-        self._out[attempt.key] = link
+        self.connections.give_back(link, not self._moved(link))
+        # Who has left has been told on, and with it an attempt that was not begun has its ending. One whose
+        # write was made before and failed here counts as begun there.
+        if not abandoned or (attempt.backoff is not None and self._facade.knows(claim.job)):
+            self._end_soon(claim, Reply(Outcome.MOOT), done)
 
     def _write_later(self, attempt: _Attempt, error: LocalError) -> None:
         """This machine could not write the first byte of an attempt: it is made again, from the start, after
@@ -371,7 +391,7 @@
                 talk = link.conversation
                 question = b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % talk.host
                 talk.ask(
-                    [question],
+                    lambda: [question],
                     lambda *answered: None if answer.done() else answer.set_result(answered),
                 )
                 reply, clean = await answer
--- /dev/null
+++ b/tests/test_upstream_deadlines.py
@@ -0,0 +1,205 @@
+"""What an attempt rests on is asked right before its first byte: the time left, its client, the list. The
+process is held up by force at a step before that, and the clock jumps; no verdict rests on real time."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import os
+from collections.abc import Callable, Iterator
+from typing import Any
+
+import pytest
+import uvloop
+
+from indigokeel.config import decode_settings
+from indigokeel.facade import Facade
+from indigokeel.machine_list import machine_list
+from indigokeel.net import exchange, pool
+from indigokeel.net.bodies import Upload
+from indigokeel.net.counters import Counters
+from indigokeel.net.exchange import Reply, Task
+from indigokeel.orders import Claim, Job, Outcome
+from tests import peers
+
+HELD_UP, BUDGET = 0.15, 50.0  # s
+CLASS = {"name": "view", "objective-s": 60.0, "deadline-s": 60.0, "effect": "safe"}
+SETTINGS = {**peers.SETTINGS, "classes": [CLASS]}
+CONNECT = 20.0  # s, so that a busy machine changes no verdict
+WRITEV = os.writev
+
+
+class Source:
+    def pause(self) -> None: ...
+
+    def resume(self) -> None: ...
+
+
+class Process:
+    """A pool before one upstream, in a process that can be held up at a step of the way to a first byte."""
+
+    def __init__(self, port: int) -> None:
+        self.facade = Facade(decode_settings(SETTINGS), 1, 0.0)
+        self.port, self.names = port, ["s-0"]
+        self.listed("Ready")
+        self.now, self.limit = 100.0, 0.0  # the clock; when the client gives up
+        self.sending = self.client_left = self.cannot_write = False
+        self.hold_up_at, self.held_up = "", HELD_UP
+        self.during: Callable[[], None] = lambda: None  # what comes to pass in the meantime
+        self.written: list[tuple[float, float]] = []  # ms told on, and those that the client had left
+        self.done: list[Outcome] = []
+
+    def listed(self, state: str) -> None:
+        entries = [peers.entry(name, self.port, state) for name in self.names]
+        self.facade.listed(0.0, machine_list(peers.machine_list(*entries)))
+
+    def step(self, name: str) -> None:
+        if self.sending and name == self.hold_up_at:
+            self.hold_up_at = ""
+            self.now += self.held_up
+            self.during()
+
+    def monotonic(self) -> float:
+        now = self.now
+        self.step("clock")
+        return now
+
+    def make_exchange(self) -> exchange.Exchange:
+        self.step("exchange")
+        return exchange.Exchange()
+
+    def left(self) -> bool:
+        left = self.client_left
+        self.step("left")
+        return left
+
+    def writev(self, fd: int, pieces: list[bytes]) -> int:
+        if self.cannot_write:
+            self.cannot_write, self.client_left = False, True
+            raise OSError(errno.ENOBUFS, "no buffers")
+        value = b"".join(pieces).partition(b"Request-Timeout-Ms: ")[2].partition(b"\r\n")[0]
+        if value:
+            self.written.append((float(value), (self.limit - self.now) * 1000.0))
+        return WRITEV(fd, pieces)
+
+    def claim(self, kind: str) -> Claim:
+        now = self.now
+        self.limit = now + BUDGET
+        claim = self.facade.pick(now, Job(kind, "view", BUDGET, long=kind == "upload")).claims[0]
+        if kind == "retry":
+            self.names.append("s-1")
+            self.listed("Ready")
+            claim = self.facade.report(now, claim, Outcome.TURNED_AWAY).claims[0]
+        return claim
+
+    async def attempt(self, carrier: pool.Pool, kind: str) -> None:
+        """Carry out one attempt, and wait until nothing more happens to it."""
+        self.done.clear()
+        self.written.clear()
+        claim, source = self.claim(kind), Source()
+        task = Task(b"POST", b"/view/k", b"1", None, [], True, left=self.left)
+        if kind == "upload":
+            task.upload = Upload(source, 4, [b"body"])
+            task.upload.whole = True
+        carrier.start(claim, task, lambda _, reply: self.ended(reply))
+        for _ in range(400):
+            await asyncio.sleep(0.001)
+            if self.done or (not carrier.connections.waiting() and carrier.connections.idle()):
+                break
+        await asyncio.sleep(0.02)  # a backoff, were there one
+
+    def ended(self, reply: Reply) -> None:
+        self.done.append(reply.outcome)
+
+    def play(self, kind: str, hold_up_at: str = "", cannot_write: bool = False) -> None:
+        async def inside() -> None:
+            carrier = pool.Pool(self.facade, Counters("t"), CONNECT, 30.0, 8)
+            if kind == "kept":  # on a connection that is up
+                await self.attempt(carrier, "before")
+            self.hold_up_at, self.cannot_write = hold_up_at, cannot_write
+            await self.attempt(carrier, kind)
+
+        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+            runner.run(inside())
+
+
+@pytest.fixture
+def process(monkeypatch: pytest.MonkeyPatch) -> Iterator[Process]:
+    node = peers.Peer(peers.echo)
+    made, send = Process(node.port), pool.Pool._send
+
+    def sending(*args: Any) -> None:
+        made.sending = True
+        made.step("send")
+        send(*args)
+        made.sending = False
+
+    monkeypatch.setattr(pool.Pool, "_send", sending)
+    monkeypatch.setattr(pool, "time", made)
+    monkeypatch.setattr(pool, "Exchange", made.make_exchange)
+    monkeypatch.setattr("os.writev", made.writev)
+    yield made
+    node.close()
+
+
+@pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
+@pytest.mark.parametrize(
+    ("step", "slack"), [("send", 0.0), ("exchange", 0.0), ("clock", 150.0), ("left", 150.0)]
+)
+def test_deadline_told_on(process: Process, kind: str, step: str, slack: float) -> None:
+    """Never more than the client has left, but by a hold-up between the clock's reading and the write."""
+    process.play(kind, step)
+    ((told, left),) = process.written
+    assert told <= left + slack and process.done == [Outcome.SERVED]
+
+
+@pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
+@pytest.mark.parametrize("step", ["send", "exchange", "clock"])
+def test_no_attempt_begins_for_a_client_that_left_in_a_hold_up(
+    process: Process, kind: str, step: str
+) -> None:
+    process.during = lambda: setattr(process, "client_left", True)
+    process.play(kind, step)
+    assert process.written == []
+
+
+@pytest.mark.parametrize("kind", ["first", "kept", "upload"])
+def test_no_attempt_begins_in_a_backoff_after_its_client_left(process: Process, kind: str) -> None:
+    """The write failed here, and the client left before it was made again. The attempt gets its ending."""
+    process.play(kind, cannot_write=True)
+    assert process.written == [] and process.done == [Outcome.MOOT]
+
+
+@pytest.mark.parametrize("kind", ["first", "kept", "retry"])
+@pytest.mark.parametrize("step", ["send", "exchange"])
+def test_no_attempt_begins_after_its_time(process: Process, kind: str, step: str) -> None:
+    """It is over when the process goes on. Nothing was asked of the upstream, so it has not failed."""
+    process.held_up = BUDGET
+    process.play(kind, step)
+    assert process.written == [] and process.done == [Outcome.MOOT]
+
+
+def test_attempt_that_is_started_after_its_time_asks_for_no_connection(process: Process) -> None:
+    async def inside() -> int:
+        carrier = pool.Pool(process.facade, Counters("t"), CONNECT, 30.0, 8)
+        claim = process.claim("late")
+        process.now += BUDGET
+        task = Task(b"GET", b"/view/k", b"1", None, [], False)
+        carrier.start(claim, task, lambda _, reply: process.ended(reply))
+        found = carrier.open
+        await asyncio.sleep(0.0)
+        return found
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        assert runner.run(inside()) == 0
+    assert process.done == [Outcome.MOOT]
+
+
+@pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
+@pytest.mark.parametrize("step", ["send", "exchange", "clock", "left"])
+def test_no_attempt_begins_once_its_upstream_drains_in_a_hold_up(
+    process: Process, kind: str, step: str
+) -> None:
+    process.during = lambda: process.listed("Terminating")
+    process.play(kind, step)
+    assert process.written == [] and process.done == [Outcome.MOOT]
