--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -326,8 +326,8 @@
                 self._supervisor.spawn("sync", self._persistence.synchronise, lambda: self.closing)
             if self._config.mgmt is not None:
                 self._supervisor.spawn("management", self._manage, self._config.mgmt)
-            clients = ClientListener(listener, lambda: Session(self, self._counters))
-            await clients.open()
+            clients = ClientListener(loop, listener, lambda: Session(self, self._counters), self._counters)
+            clients.open()
             self._accepting = True
             self._audit = Audit(
                 lambda: self._pool.connections.books,
@@ -393,10 +393,10 @@
         if not shared:
             await asyncio.sleep(_ACCEPT_ON)
         self.closing, self._accepting = True, False
+        # What the system has accepted already is ours, where nobody else takes it.
+        await clients.close(drain=not shared)
         if not shared:
-            # What the system has accepted already is ours: the loop takes it before the listener goes.
-            await asyncio.sleep(0.01)
-        clients.close()
+            await asyncio.sleep(0.01)  # those taken last may be about to write
         # A message that is only half here is not owed an answer; it may still become whole for a moment.
         patience = time.monotonic() + _HALF_READ
         while self._sessions and time.monotonic() < self._ends_at:
