--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -66,6 +66,8 @@
         """Discovery listens elsewhere now: watch there at once. The old watch goes on until the new one
         is up, so that no news is missed between them."""
         if address == self._address:
+            if self.pushed:  # kept for good, whatever ended the last one
+                await self.watch()
             return
         self._address = address
         self._counters.add("discovery_moves")
@@ -89,6 +91,11 @@
             if mine == self._begun:  # not by a newer watch, but because the program ends
                 raise
             task.uncancel()
+        except Exception as error:  # whatever it was, the watch has ended, and who waits for it is told so
+            self._counters.add("task_faults")
+            self._counters.log(f"fault in the watch: {type(error).__name__}: {error}", "error")
+            if self.pushed:  # nobody would order the next one: this one's owner starts it again
+                raise
         finally:
             del self._watches[mine]
         if mine == self._begun:  # else a newer one has taken its place
@@ -120,7 +127,13 @@
 
     async def fetch(self) -> None:
         """Ask for the whole list once."""
-        if await self._call(_PATH) is not _Ending.WHOLE:
+        ending = _Ending.FAILED
+        try:
+            ending = await self._call(_PATH)
+        except Exception as error:
+            self._counters.add("task_faults")
+            self._counters.log(f"fault in a call to discovery: {type(error).__name__}: {error}", "error")
+        if ending is not _Ending.WHOLE:
             self._failed()
 
     async def _call(
@@ -148,9 +161,9 @@
             async for news in answer.lists():
                 if not news.whole and news.version < self.version:
                     continue  # the watch before this one has told it already, and more
-                self.version = news.version
                 self._counters.add("machine_lists")
                 self._listed(news)
+                self.version = news.version  # of what was taken in: a list that was not is asked for again
             return _Ending.WHOLE
         except Exception as error:
             # Broken, too slow, not a machine list: whatever it was, the call has failed and is told so,
--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -25,10 +25,11 @@
 from indigokeel.net.management import MOST as MOST_CALLS
 from indigokeel.net.management import Management
 from indigokeel.net.pool import Pool
+from indigokeel.net.request_timer import RequestTimer
 from indigokeel.net.state_persistence import StatePersistence
 from indigokeel.net.submitters import Final, Session
 from indigokeel.net.supervision import Supervisor
-from indigokeel.orders import Claim, Job, Orders, Outcome, Verdict
+from indigokeel.orders import Answer, Claim, Job, Orders, Outcome, Verdict
 
 _RESERVE = 32  # descriptors kept for the log, discovery, the event loop and what the system wants
 _SUBMITTERS = 0.55  # of the others: for submitters, whose crowds come and go; the rest for execute nodes
@@ -38,7 +39,6 @@
 _RETIRE = 5  # looks between those at idle connections to execute nodes
 _AUDIT = 25  # looks between audits of the descriptors
 _SPARE = 12  # of the reserve: for new clients while all others are at work or have yet to read a last word
-_STOOD = 0.02  # s by which the clock is late where the sockets are looked at first
 _FIRST_LIST = 1.5  # s in which discovery's first word is awaited, before this process says that it serves
 _KILLED = 3.0, 0.7  # s: SIGKILL comes the longest deadline, at most the first, and the second after SIGTERM
 _LAST = 0.15  # s before that by which all is answered and written, and this long before that it is answered
@@ -79,11 +79,9 @@
         self._discovery.pushed = not config.settings.ask_membership
         self._known: MachineList | None = None  # the list as last had, until it is taken in
         self._waiting: dict[str, tuple[Session, Task]] = {}  # jobs whose answer is awaited
-        self._clock: asyncio.TimerHandle | None = None
-        self._due_at = math.inf
         self._lag = 0.0
-        self._looked = False  # at the sockets, since the clock was found late
         self._supervisor = Supervisor(self._counters)
+        self._timer = RequestTimer(self._facade.due, self._run_due, self._supervisor)
         self._audit: Audit
         self._management = Management(self, self._counters)
         self._persistence: StatePersistence | None = None
@@ -141,7 +139,7 @@
 
     def uploaded(self, job_id: str) -> None:
         self._facade.uploaded(time.monotonic(), job_id)
-        self._wind()
+        self._timer.reset()
 
     def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
         wait = self._facade.turn_away(arrived, job_class, budget)
@@ -184,33 +182,53 @@
     # --- what the facade orders -----------------------------------------------------------------------
 
     def _carry_out(self, orders: Orders, reply: Reply | None = None) -> None:
-        """``reply`` is the one that a served answer among the orders passes on."""
+        """``reply`` is the one that a served answer among the orders passes on. An order that raises costs
+        what it is for, and none of the others."""
+        attempt = self._supervisor.attempt
         for note in orders.notes:
             self._counters.log(note)
         for job, number in orders.given_up:
-            self._pool.give_up(job, number)
+            attempt("giving up an attempt", self._pool.give_up, job, number)
         for claim in orders.claims:
-            waiting = self._waiting.get(claim.job)
-            if waiting is not None:
-                self._pool.start(claim, waiting[1], self._claim_done)
+            self._start(claim)
         for answer in orders.answers:
-            self._counters.add("jobs_" + answer.verdict.value)
-            waiting = self._waiting.pop(answer.job, None)
-            if waiting is not None:
-                served = reply if answer.verdict is Verdict.SERVED else None
-                waiting[0].answer(Final(answer.verdict, answer.retry_in, served))
+            self._answer(answer, reply)
         for node in orders.probes:
             self._supervisor.spawn("probe", self._probe, node)
         for node in orders.close_idle:
-            self._pool.close_idle(node)
+            attempt("closing idle connections", self._pool.close_idle, node)
         if orders.warm:
-            self._pool.listed(orders.warm)
+            attempt("opening connections ahead", self._pool.listed, orders.warm)
         if orders.watch:
-            self._supervisor.spawn("watch", self._discovery.watch)
+            self._supervisor.keep_running("watch", self._discovery.watch)
         if orders.fetch:
-            self._supervisor.spawn("fetch", self._discovery.fetch)
-        if self._facade.due() < self._due_at:
-            self._wind()
+            self._supervisor.keep_running("fetch", self._discovery.fetch)
+        self._timer.lower()
+
+    def _start(self, claim: Claim) -> None:
+        """Begin an attempt. One that cannot be begun may have been written in part: it counts as broken."""
+        waiting = self._waiting.get(claim.job)
+        if waiting is None:
+            return
+        try:
+            self._pool.start(claim, waiting[1], self._claim_done)
+        except Exception as error:
+            self._supervisor.fault("an attempt", error)
+            self._supervisor.attempt("giving up an attempt", self._pool.give_up, claim.job, claim.number)
+            asyncio.get_running_loop().call_soon(self._claim_done, claim, Reply(Outcome.BROKEN))
+
+    def _answer(self, answer: Answer, reply: Reply | None) -> None:
+        """Pass a final answer on. A client that it cannot be written to is not left to wait for it."""
+        self._counters.add("jobs_" + answer.verdict.value)
+        waiting = self._waiting.pop(answer.job, None)
+        if waiting is None:
+            return
+        served = reply if answer.verdict is Verdict.SERVED else None
+        try:
+            waiting[0].answer(Final(answer.verdict, answer.retry_in, served))
+        except Exception as error:
+            self._supervisor.fault("an answer", error)
+            self._supervisor.attempt("closing a connection", waiting[0].abort)
 
     def _claim_done(self, claim: Claim, reply: Reply) -> None:
         now = time.monotonic()
@@ -245,54 +263,34 @@
 
     # --- tasks ----------------------------------------------------------------------------------------
 
-    def _wind(self) -> None:
-        """Set the clock for what is due next."""
-        if self._clock is not None:
-            self._clock.cancel()
-        self._due_at = self._facade.due()
-        if self._due_at < math.inf:
-            delay = max(self._due_at - time.monotonic(), 0.0)
-            self._clock = asyncio.get_running_loop().call_later(delay, self._tick)
-
-    def _tick(self) -> None:
-        """Call the facade, for something is due. Guards against the loop that stood still: its timers fire
-        before it has looked at its sockets, and claims would time out whose answers are here."""
-        if time.monotonic() - self._due_at > _STOOD and not self._looked:
-            self._looked = True
-            self._clock = asyncio.get_running_loop().call_later(0.001, self._tick)
-            return
-        self._looked = False
-        self._due_at = -math.inf  # wound once, when all is done
-        try:
-            self._carry_out(self._facade.tick(time.monotonic()))
-        except Exception as error:  # the clock must go on whatever one entry did
-            self._supervisor.fault("tick", error)
-        self._wind()
+    def _run_due(self) -> None:
+        self._carry_out(self._facade.tick(time.monotonic()))
 
     def _beat(self, due: float) -> None:
         """Measure how late the loop runs, which is what every job waits for it, and tell."""
         now = time.monotonic()
-        self._lag = max(now - due, 0.0)
-        try:
-            self._carry_out(self._facade.lagged(now, self._lag))
-            self.behind = self._facade.behind()
-        except Exception as error:  # the beat must go on
-            self._supervisor.fault("beat", error)
         asyncio.get_running_loop().call_later(BEAT, self._beat, now + BEAT)
+        self._lag = max(now - due, 0.0)
+        self._supervisor.attempt("beat", self._tell_lag, now)
+
+    def _tell_lag(self, now: float) -> None:
+        self._carry_out(self._facade.lagged(now, self._lag))
+        self.behind = self._facade.behind()
 
     async def _housekeeping(self) -> None:
         """Look at the connections now and then."""
+        attempt = self._supervisor.attempt
         looks = 0
         while True:
             await asyncio.sleep(_LOOK)
             looks += 1
             now = time.monotonic()
             for session in self._sessions:
-                session.look(now)
+                attempt("the look at a client connection", session.look, now)
             if looks % _RETIRE == 0:
-                self._pool.retire(now)
+                attempt("closing idle connections", self._pool.retire, now)
             if looks % _AUDIT == 0:
-                self._audit.look()
+                attempt("audit", self._audit.look)
 
     # --- start and end --------------------------------------------------------------------------------
 
@@ -318,14 +316,14 @@
             if self._discovery.pushed:
                 # What the agent has binds from the first moment on: no job is sent by the old list alone,
                 # unless the agent is silent. Until then there is no node, and jobs are held.
-                self._supervisor.spawn("watch", self._discovery.watch)
+                self._supervisor.keep_running("watch", self._discovery.watch)
                 loop.call_later(_FIRST_LIST, self._use_known)
             else:
                 self._use_known()
             if self._persistence is not None:
-                self._supervisor.spawn("sync", self._persistence.synchronise, lambda: self.closing)
+                self._supervisor.keep_running("sync", self._persistence.synchronise, lambda: self.closing)
             if self._config.mgmt is not None:
-                self._supervisor.spawn("management", self._manage, self._config.mgmt)
+                self._supervisor.keep_running("management", self._manage, self._config.mgmt)
             clients = ClientListener(loop, listener, lambda: Session(self, self._counters), self._counters)
             clients.open()
             self._accepting = True
@@ -337,13 +335,13 @@
                 lambda level, text: self._counters.log(text, level),
                 time.monotonic,
             )
-            self._supervisor.spawn("housekeeping", self._housekeeping)
+            self._supervisor.keep_running("housekeeping", self._housekeeping)
             loop.call_later(BEAT, self._beat, time.monotonic() + BEAT)
             while (number := await signals.get()) not in (signal.SIGTERM, signal.SIGINT):
                 if number == signal.SIGUSR1:
                     self._dump()
                 else:
-                    self._reload()
+                    self._supervisor.attempt("reload", self._reload)
             signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # for good: the loop lets go of it
             await self._end(clients)
             self._supervisor.cancel_all()
@@ -369,14 +367,25 @@
             self._counters.add("reloads_failed")
             self._counters.log(f"the configuration stays as it was: {error}", "warning")
             return
+        previous = self._config
+        try:
+            self._use_config(config)
+        except Exception as error:  # whole or nothing: what has changed already changes back
+            self._counters.add("reloads_failed")
+            self._supervisor.fault("reload", error)
+            self._use_config(previous)
+            return
+        self._counters.add("reloads")
+        names = ", ".join(cls.name for cls in config.settings.classes)
+        self._counters.log(f"a new configuration: classes {names}")
+        self._supervisor.keep_running("move", self._discovery.move, config.discovery)
+
+    def _use_config(self, config: Config) -> None:
         settings = config.settings
         self._facade.reconfigure(settings)
         self._pool.reconfigure(settings.limits.connect_timeout, settings.limits.keepalive)
         self._config, self.settings = config, settings
         self._discovery.pushed = not settings.ask_membership
-        self._counters.add("reloads")
-        self._counters.log(f"a new configuration: classes {', '.join(cls.name for cls in settings.classes)}")
-        self._supervisor.spawn("move", self._discovery.move, config.discovery)
 
     async def _end(self, clients: ClientListener) -> None:
         """Graceful shutdown: take requests for a while, answer all that was taken before SIGKILL would come,
@@ -386,7 +395,7 @@
         # Nothing taken is answered any later, whether it came before or comes now.
         self._ends_at = time.monotonic() + min(longest, _KILLED[0]) + _KILLED[1] - _LAST
         self._facade.finish(self._ends_at - _WRITTEN)
-        self._wind()
+        self._timer.reset()
         shared = self._config.listen_fd >= 0
         # With another process that accepts already, no connection is closed on a submitter that may be
         # writing: each ends with its next answer, or as idle.
@@ -429,7 +438,11 @@
         return self._facade.owed > 0 or any(s.busy or s.unread() or s.unwritten() for s in self._sessions)
 
     def _dump(self) -> None:
-        self._audit.look()
+        """Print the counters for the operators; a fault in it costs nothing else."""
+        self._supervisor.attempt("audit", self._audit.look)
+        self._supervisor.attempt("counters", self._dump_counters)
+
+    def _dump_counters(self) -> None:
         self._counters.dump(
             owed=self._facade.owed,
             module_faults=self._facade.faults,
--- a/indigokeel/net/supervision.py
+++ b/indigokeel/net/supervision.py
@@ -3,11 +3,19 @@
 from __future__ import annotations
 
 import asyncio
+import time
 from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Any, ParamSpec, TypeVar
 
 from indigokeel.net.counters import Counters
 
+_RESTART_PAUSE_S = 0.05  # before the first restart of a loop; doubled with each further one ...
+_RESTART_PAUSE_MOST_S = 1.0  # ... up to this
+_SOUND_RUN_S = 5.0  # a loop that ran for so long begins again with the first pause
+
+P = ParamSpec("P")
+T = TypeVar("T")
+
 
 class Supervisor:
     """Owns the background tasks of one process."""
@@ -16,30 +24,67 @@
         self._counters = counters
         self._group: asyncio.TaskGroup | None = None
         self._tasks: set[asyncio.Task[None]] = set()
+        self._stopped = False
 
     def attach(self, group: asyncio.TaskGroup) -> None:
         """Start tasks in ``group`` from now on."""
         self._group = group
 
     def spawn(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run ``call(*args)`` as a task; ``what`` names it in the log."""
+        """Run ``call(*args)`` as a task; ``what`` names it in the log. Nothing starts after ``cancel_all``:
+        the process would wait for it."""
+        if self._stopped:
+            return
         assert self._group is not None
         task = self._group.create_task(self._run(what, call, *args))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+    def keep_running(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Run ``call(*args)`` as a task that starts again after an exception, until it returns or is
+        cancelled."""
+        self.spawn(what, self._restart, what, call, *args)
+
+    def attempt(self, what: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
+        """Call a step of a loop that goes on whatever the step raises; None where it raised."""
         try:
-            await call(*args)
-        except Exception as error:  # a fault never takes the other tasks with it
+            return call(*args, **kwargs)
+        except Exception as error:
             self.fault(what, error)
+            return None
 
     def fault(self, what: str, error: BaseException | None) -> None:
         """Log and count an exception that nothing handled."""
         self._counters.add("task_faults")
-        self._counters.log(f"fault in {what}: {type(error).__name__}: {error}")
+        self._counters.log(f"fault in {what}: {type(error).__name__}: {error}", "error")
+
+    def restarting(self, what: str, error: Exception) -> None:
+        """Log and count an exception that ended a loop, which is started again."""
+        self.fault(what, error)
+        self._counters.add("loop_restarts")
 
     def cancel_all(self) -> None:
-        """Cancel every task that still runs."""
+        """Cancel every task that still runs, and start no more."""
+        self._stopped = True
         for task in list(self._tasks):
             task.cancel()
+
+    async def _run(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        try:
+            await call(*args)
+        except Exception as error:  # a fault never takes the other tasks with it
+            self.fault(what, error)
+
+    async def _restart(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        pause = _RESTART_PAUSE_S
+        while True:
+            began = time.monotonic()
+            try:
+                await call(*args)
+                return
+            except Exception as error:
+                self.restarting(what, error)
+            if time.monotonic() - began > _SOUND_RUN_S:
+                pause = _RESTART_PAUSE_S
+            await asyncio.sleep(pause)
+            pause = min(2.0 * pause, _RESTART_PAUSE_MOST_S)
