--- a/indigokeel/net/errors.py
+++ b/indigokeel/net/errors.py
@@ -1,4 +1,4 @@
-"""What the errors of system calls on an upstream's connection mean: the one table, by step and errno. No I/O.
+"""What the errors of system calls on sockets mean: the one table, by step and errno. No I/O.
 
 A call fails for three kinds of reasons. It has not failed at all and goes on (EINTR, EAGAIN, EINPROGRESS).
 This machine lacks something, a descriptor, memory, a port, a route: that says nothing of the upstream, and
@@ -22,6 +22,7 @@
     CONNECTING = "connecting"  # the error that a connect under way ended with (SO_ERROR)
     WRITE = "write"
     READ = "read"
+    ACCEPT = "accept"  # of a client's connection
 
 
 class Meaning(Enum):
@@ -51,6 +52,26 @@
     errno.EAFNOSUPPORT,
 }
 
+# What accept(2) says of one connection, which is off the backlog after it: the connection is gone, a firewall
+# forbids it, or, on Linux, an error of the network was pending on the new socket.
+_OF_ONE_CONNECTION = {
+    errno.ECONNABORTED,
+    errno.ECONNRESET,
+    errno.EHOSTDOWN,
+    errno.EHOSTUNREACH,
+    errno.EINTR,
+    errno.ENETDOWN,
+    errno.ENETUNREACH,
+    errno.ENONET,
+    errno.ENOPROTOOPT,
+    errno.EOPNOTSUPP,
+    errno.EPERM,
+    errno.EPROTO,
+    errno.EPROTONOSUPPORT,
+    errno.ESOCKTNOSUPPORT,
+    errno.ETIMEDOUT,
+}
+
 _GOES_ON = {
     Step.PREPARE: frozenset({errno.EINTR}),
     # A connect that a signal interrupts goes on, and its end is told as that of any other (POSIX, connect).
@@ -58,6 +79,7 @@
     Step.CONNECTING: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EAGAIN}),
     Step.WRITE: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
     Step.READ: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
+    Step.ACCEPT: frozenset(_OF_ONE_CONNECTION),
 }
 
 # EHOSTUNREACH and ENETUNREACH are ambiguous. From the call they say that this machine has no route. Once the
@@ -76,8 +98,8 @@
     """What an errno says that a call at this step has failed with; None for a time that is over."""
     if number in _GOES_ON[step]:
         return Meaning.GOES_ON
-    # Whatever goes wrong before the connect is local: nobody else was asked.
-    if step is Step.PREPARE or number in _LOCAL[step]:
+    # Whatever else goes wrong before a connect or at an accept is local: nobody else was asked.
+    if step in (Step.PREPARE, Step.ACCEPT) or number in _LOCAL[step]:
         return Meaning.LOCAL
     return Meaning.UPSTREAM
 
--- a/indigokeel/net/listener.py
+++ b/indigokeel/net/listener.py
@@ -8,13 +8,13 @@
 from __future__ import annotations
 
 import asyncio
-import errno
 import socket
 from collections.abc import Callable, Coroutine
 from enum import Enum
 from typing import Any
 
 from indigokeel.net.counters import Counters
+from indigokeel.net.errors import Meaning, Step, meaning
 
 BACKLOG = 512  # connections that the system may hold for this process before it accepts them
 BATCH = 32  # calls of ``accept`` in one turn of the loop: some 2 ms of its time
@@ -22,31 +22,6 @@
 _DRAIN_TIME = 0.2  # s in which the backlog is emptied before the socket is closed
 _LOG_EVERY = 5.0  # s between two log lines about errors; all of them are counted
 
-# Errors of one connection, which is off the backlog after them: the connection is gone, a firewall forbids
-# it, or, on Linux, an error of the network that was pending on the new socket. See accept(2).
-CONNECTION_ERRORS = frozenset(
-    {
-        errno.ECONNABORTED,
-        errno.ECONNRESET,
-        errno.EHOSTDOWN,
-        errno.EHOSTUNREACH,
-        errno.EINTR,
-        errno.ENETDOWN,
-        errno.ENETUNREACH,
-        errno.ENONET,
-        errno.ENOPROTOOPT,
-        errno.EOPNOTSUPP,
-        errno.EPERM,
-        errno.EPROTO,
-        errno.EPROTONOSUPPORT,
-        errno.ESOCKTNOSUPPORT,
-        errno.ETIMEDOUT,
-    }
-)
-# Errors that come again with each call until descriptors or memory are freed. The connection stays in the
-# backlog.
-RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSR})
-
 
 class _Batch(Enum):
     """How a batch of calls of ``accept`` ended."""
@@ -119,7 +94,8 @@
                 return _Batch.EMPTY
             except (OSError, MemoryError) as error:
                 self._note(error)
-                if not isinstance(error, OSError) or error.errno not in CONNECTION_ERRORS:
+                number = error.errno if isinstance(error, OSError) else None
+                if meaning(number, Step.ACCEPT) is Meaning.LOCAL:
                     return _Batch.FAILED
                 continue
             accepted += 1
