--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from indigokeel.net.connections import Audit, Bounds, Connections, Link, Ticket
+from indigokeel.net.connections import Audit, Bounds, Connections, Link, NoConnection, Ticket
 from indigokeel.net.connections.audit import sockets
 
 
@@ -22,7 +22,7 @@
     def heard(self, data: bytes) -> None:
         """Nothing is made of it."""
 
-    def lost(self, unsent: bool) -> None:
+    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
         """Nor of its end."""
 
 
@@ -100,8 +100,8 @@
 def count_ready(held: list[Link | Ticket]):  # type: ignore[no-untyped-def]
     """What a wait is told: a connection joins those held."""
 
-    def ready(link: Link | None) -> None:
-        if link is not None:
+    def ready(link: Link | NoConnection) -> None:
+        if isinstance(link, Link):
             held.append(link)
 
     return ready
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -56,7 +56,7 @@
     def heard(self, data: bytes) -> None:
         """Nothing is made of it."""
 
-    def lost(self, unsent: bool) -> None:
+    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
         """Nor of its end."""
 
 
@@ -68,7 +68,9 @@
     up: list[Link] = []
     before = memory_kb(os.getpid())
     for _ in range(connections):
-        found = manager.borrow("n", ("127.0.0.1", port), 5.0, lambda link: up.append(link) if link else None)
+        found = manager.borrow(
+            "n", ("127.0.0.1", port), 5.0, lambda link: up.append(link) if isinstance(link, Link) else None
+        )
         if len(manager.books) % 100 == 0:
             await asyncio.sleep(0.01)
         assert not isinstance(found, Link)
