--- a/indigokeel/net/bodies.py
+++ b/indigokeel/net/bodies.py
@@ -21,6 +21,13 @@
     def resume(self) -> None: ...
 
 
+class UploadSource(Source, Protocol):
+    """The client connection that a long body comes from."""
+
+    def left_by_now(self) -> bool:
+        """Whether the client has closed, asked of the system."""
+
+
 class Reader(Protocol):
     """Who takes an answer's body."""
 
@@ -95,7 +102,7 @@
 
     __slots__ = ("_dropped", "_held", "_holding", "_sink", "_size", "_source", "length", "passed", "whole")
 
-    def __init__(self, source: Source, length: int, held: http.Body) -> None:
+    def __init__(self, source: UploadSource, length: int, held: http.Body) -> None:
         self._source, self.length, self._held = source, length, held
         self._size = sum(map(len, held))
         self._sink: Sink | None = None
--- /dev/null
+++ b/indigokeel/net/request_reader.py
@@ -0,0 +1,182 @@
+"""Reads the requests of one client connection off its bytes, and tells broken framing from a request that is
+well framed and cannot be served. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+import httptools
+
+from indigokeel.decision.interface import Settings
+from indigokeel.net import http
+from indigokeel.net.bodies import Upload, UploadSource
+from indigokeel.net.exchange import Task
+from indigokeel.net.http import MalformedError
+from indigokeel.net.jobs import read_job
+from indigokeel.orders import Job
+
+_MOST_HEADERS = 100
+_MOST_PIECES = 64  # of a body that came in crumbs: then they are joined, so that they stay few
+
+
+class Receiver(UploadSource, Protocol):
+    """The connection's session, which is told of what was read."""
+
+    def request_read(
+        self, request: tuple[Job, Task] | None, error: MalformedError | None, keep_alive: bool
+    ) -> None:
+        """One more request is owed an answer: a whole one, a health check where there is neither request nor
+        error, or, from its head on, one that cannot be served, whose body is thrown away as it comes."""
+
+    def upload_begun(self, request: tuple[Job, Task]) -> None:
+        """A request's body is longer than what is read whole: it goes on in pieces."""
+
+    def upload_read(self, upload: Upload, request: tuple[Job, Task], keep_alive: bool) -> None:
+        """The last byte of that body was read."""
+
+    def body_expected(self) -> None:
+        """The client waits for a word before it sends the body."""
+
+    def discarded(self) -> None:
+        """The last byte of a request that had its error before was read."""
+
+
+class RequestReader:
+    """httptools calls the ``on_`` methods."""
+
+    __slots__ = (
+        "_head_size", "_headers", "_length", "_parser", "_receiver", "_request", "_settings", "_target",
+        "answered", "in_head", "messages", "reading", "size", "upload",
+    )  # fmt: skip
+
+    def __init__(self, receiver: Receiver, settings: Callable[[], Settings]) -> None:
+        """``settings`` tells those in force."""
+        self._receiver, self._settings = receiver, settings
+        self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
+        self._target = b""
+        self._headers: dict[bytes, bytes] = {}
+        self._head_size = 0
+        self._length = -1  # of the body in bytes, -1: in chunks, or none
+        self._request: tuple[Job, Task] | None = None
+        self.messages = 0  # read to their end so far
+        self.reading = False  # within a message
+        self.in_head = False  # ... and its head
+        self.size = 0  # bytes of its body so far
+        self.answered = False  # an answer to it was written or is queued: it gets no other
+        self.upload: Upload | None = None  # its body, where that is long
+
+    def feed(self, data: bytes | memoryview) -> None:
+        """Take in bytes; raises MalformedError where the connection cannot be read any further, and whatever
+        fault came up."""
+        assert self._parser is not None
+        whole = self.messages
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserCallbackError as error:
+            raise (error.__context__ or error) from None
+        except httptools.HttpParserError as error:
+            raise MalformedError(400, str(error)) from None
+        if self.in_head and self.messages == whole:  # all of it was head
+            self._head_size += len(data)
+            if self._head_size > http.MAX_HEAD:
+                raise MalformedError(431, "the head is too large")
+
+    def stop(self) -> None:
+        """Read nothing more. The parser holds this object: the two are let go together."""
+        self._parser, self.reading, self.in_head = None, False, False
+        self._request = self.upload = None
+
+    def body_left(self) -> int:
+        """Bytes until the end of the body that is being read: 0 between bodies, -1 where it comes in
+        chunks."""
+        if not self.reading or self.in_head:
+            return 0
+        return -1 if self._length < 0 else max(self._length - self.size, 0)
+
+    # --- httptools ------------------------------------------------------------------------------------
+
+    def on_message_begin(self) -> None:
+        self.reading = self.in_head = True
+        self._target, self._headers, self._request = b"", {}, None
+        self._head_size = self.size = 0
+        self.answered = False
+
+    def on_url(self, url: bytes) -> None:
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if len(name) + len(value) > http.MAX_HEAD or len(self._headers) > _MOST_HEADERS:
+            raise MalformedError(431, "the head is too large")
+        # The blanks round a value are none of it; llhttp leaves those behind it that came in another piece.
+        self._headers.setdefault(name.lower(), value.strip(b" \t"))
+
+    def on_headers_complete(self) -> None:
+        parser = self._parser
+        assert parser is not None
+        self.in_head = False
+        if len(self._target) + sum(map(len, self._headers.values())) > http.MAX_HEAD:
+            raise MalformedError(431, "the head is too large")
+        http.one_framing(self._headers)
+        length = self._headers.get(b"content-length")
+        self._length = -1 if length is None else int(length)
+        if self._length > http.MOST_BODY:
+            raise MalformedError(413, "the body is too large")
+        if parser.should_upgrade():
+            raise MalformedError(400, "no other protocol is spoken here")
+        if self._headers.get(b"expect", b"").lower() == b"100-continue":
+            self._receiver.body_expected()
+        if self._target == b"/_health":
+            return
+        try:
+            request = read_job(parser.get_method(), self._target, self._headers, self._settings())
+        except MalformedError as error:
+            # Its bounds are known, so the connection is good for the next one.
+            self._refuse(error)
+        else:
+            request[1].left = self._receiver.left_by_now
+            self._request = request
+
+    def _refuse(self, error: MalformedError) -> None:
+        assert self._parser is not None
+        self.answered = True
+        text = "" if self._parser.get_method() == b"HEAD" else str(error)  # no answer to HEAD has a body
+        self._receiver.request_read(
+            None, MalformedError(error.status, text), self._parser.should_keep_alive()
+        )
+
+    def on_body(self, data: bytes) -> None:
+        self.size += len(data)
+        if self.upload is not None or self.answered:
+            if self.size > http.MOST_BODY:
+                raise MalformedError(413, "the body is too large")
+            if self.upload is not None:
+                self.upload.add(data)
+            return
+        if self._request is None:
+            if self.size > http.MAX_BODY:
+                self._refuse(MalformedError(413, "the body is too large"))
+            return
+        task = self._request[1]
+        task.body.append(data)
+        if self.size > http.MAX_BODY:
+            task.upload = self.upload = Upload(self._receiver, self._length, task.body)
+            task.body = []
+            self._request[0].long = True
+            self._receiver.upload_begun(self._request)
+        elif len(task.body) >= _MOST_PIECES:
+            task.body[:] = [b"".join(task.body)]
+
+    def on_message_complete(self) -> None:
+        assert self._parser is not None
+        self.reading = False
+        self.messages += 1
+        keep_alive = self._parser.should_keep_alive()
+        request, self._request = self._request, None
+        upload, self.upload = self.upload, None
+        if upload is not None and request is not None:
+            self._receiver.upload_read(upload, request, keep_alive)
+        elif self.answered:
+            self._receiver.discarded()
+        else:
+            self._receiver.request_read(request, None, keep_alive)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -309,6 +309,7 @@
 
     def __init__(self) -> None:
         self.paused, self.full, self.written, self.ended = False, False, b"", ""
+        self.gone = False  # the client
 
     def pause(self) -> None:
         self.paused = True
@@ -316,6 +317,9 @@
     def resume(self) -> None:
         self.paused = False
 
+    def left_by_now(self) -> bool:
+        return self.gone
+
     def clear(self) -> bool:
         return not self.full
 
--- /dev/null
+++ b/tests/test_pipelining.py
@@ -0,0 +1,264 @@
+"""Requests that come ahead of their turn on one client connection: each that was read has one answer, in its
+place; only broken framing ends the connection, after the answers to what came before."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import json
+import re
+import socket
+import weakref
+from collections.abc import Callable
+from pathlib import Path
+
+import pytest
+
+from indigokeel.net.counters import Counters
+from indigokeel.net.exchange import Reply, Task
+from indigokeel.net.pipeline import MOST_AHEAD, Pipeline
+from indigokeel.net.submitters import Final, Session
+from indigokeel.orders import Job, Outcome, Verdict
+from tests.peers import WAIT, Peer, echo, entry, job, machine_list, read_answer, running, until
+from tests.test_endings import HEALTH, Held
+from tests.test_net import LateDesk
+
+LONG = b"z" * 150_000
+PAY, LAST = job("pay", b"one"), job("pay", b"last")
+BAD_CHUNK = job("odd", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+
+
+def without(name: bytes, raw: bytes) -> bytes:
+    return re.sub(name + rb": [^\r]*\r\n", b"", raw)
+
+
+def codes_of(conn: socket.socket) -> list[int]:
+    """The codes of all answers up to the end of the stream."""
+    file, found = conn.makefile("rb"), []
+    while file.peek(1):
+        found.append(read_answer(file)[0])
+    return found
+
+
+@pytest.mark.parametrize(
+    ("between", "codes"),
+    [
+        (job("pay", b"x") * 0, []),
+        (b"".join(job("pay", b"x") for _ in range(10)), [200] * 10),
+        (b"".join(job("pay", b"x") for _ in range(200)), [200] * 200),
+        (HEALTH * 5000, [200] * 5000),
+        (b"GET / HTTP/1.1\r\n\r\n" * 1000, [400] * 1000),
+        (job("odd", b"x") * 3, [400] * 3),
+        (without(b"Request-Id", PAY), [400]),
+        (without(b"Request-Timeout-Ms", PAY), [400]),
+        (job("pay", b"x", wait_ms=-5), [400]),
+        (job("order", b"x"), [400]),  # without its Idempotency-Key
+        (PAY.replace(b"POST", b"PUT"), [405]),
+        (PAY.replace(b"/pay", b"/view"), [404]),
+        (job("odd", LONG), [400]),
+        (BAD_CHUNK + b"9000\r\n" + b"x" * 0x9000 + b"\r\n0\r\n\r\n", [400]),
+        (HEALTH.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG, [413]),
+        (job("odd") + job("pay", LONG) + job("odd"), [400, 200, 400]),
+    ],
+)
+def test_each_request_that_was_read_has_its_answer_in_its_place(
+    tmp_path: Path, between: bytes, codes: list[int]
+) -> None:
+    with running(tmp_path, echo) as (program, (node,), _), program.connect() as conn:
+        conn.settimeout(WAIT)
+        conn.sendall(PAY + between + job("pay", b"last", more="Connection: close\r\n"))
+        assert codes_of(conn) == [200, *codes, 200]
+        assert (node.got[0].body, node.got[-1].body) == (b"one", b"last")
+        assert len(node.got) == 2 + codes.count(200) * (between[:9] != HEALTH[:9])
+
+
+@pytest.mark.parametrize(
+    "broken",
+    [
+        b"garbage\r\n\r\n",
+        job("pay", b"x", more="Transfer-Encoding: chunked\r\n"),
+        b"POST /pay/1 HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+        b"GET / HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
+        b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 20_000 + b"\r\n",
+        b"POST /pay/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n",
+    ],
+)
+def test_broken_framing_ends_the_connection_after_the_answers_to_what_came_before(
+    tmp_path: Path, broken: bytes
+) -> None:
+    with running(tmp_path, echo) as (program, (node,), _), program.connect() as conn:
+        conn.settimeout(WAIT)
+        conn.sendall(PAY * 1 + job("odd", b"x") + LAST + broken + job("pay", b"never"))
+        found = codes_of(conn)
+        assert found[:3] == [200, 400, 200] and len(found) == 4 and found[3] in (400, 413, 431)
+        assert [message.body for message in node.got] == [b"one", b"last"]
+
+
+def test_error_in_a_request_that_had_its_error_is_told_once(tmp_path: Path) -> None:
+    with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
+        conn.sendall(BAD_CHUNK)
+        file = conn.makefile("rb")
+        assert read_answer(file)[0] == 400  # before its body has come
+        conn.sendall(b"zz\r\n" + PAY)
+        assert file.read() == b""
+
+
+def test_upload_that_breaks_off_after_its_answer_gets_no_second_one(tmp_path: Path) -> None:
+    with running(tmp_path) as (program, _, _d), program.connect() as conn:
+        head = job("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+        conn.sendall(head + b"20000\r\n" + b"x" * 0x20000 + b"\r\n")
+        file = conn.makefile("rb")
+        assert read_answer(file)[0] == 503  # there is no upstream
+        conn.sendall(b"zz\r\n")
+        assert file.read() == b""
+
+
+def test_error_of_a_head_request_has_no_body_that_its_client_does_not_expect(tmp_path: Path) -> None:
+    with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
+        conn.sendall(job("view").replace(b"GET", b"HEAD") + PAY)
+        file = conn.makefile("rb")
+        code, answer = read_answer(file)
+        assert (code, answer.headers["content-length"]) == (405, "0")
+        assert read_answer(file)[1].body == b"one"
+
+
+def test_id_of_an_open_request_is_told_in_its_place(tmp_path: Path) -> None:
+    held, quick = Held(), Peer(echo)
+    same = PAY.replace(b"one", LONG).replace(b"Length: 3", b"Length: %d" % len(LONG))  # its body is long
+    with (
+        running(tmp_path, held) as (program, _, discovery),
+        program.connect() as other,
+        program.connect() as conn,
+    ):
+        other.sendall(PAY)
+        until(lambda: len(held.got) == 1)
+        discovery.push(json.dumps(machine_list(entry("s-1", quick.port), index=2)).encode())
+        until(lambda: program.counters().get("machine_lists") == 1)
+        conn.sendall(job("pay", b"2") + PAY + job("pay", b"3") + same + job("pay", b"4"))
+        file = conn.makefile("rb")
+        assert [read_answer(file)[0] for _ in range(5)] == [200, 409, 200, 409, 200]
+        held.let.set()
+        assert read_answer(other.makefile("rb"))[1].body == b"one"
+    quick.close()
+
+
+def test_client_that_waits_for_a_word_behind_another_request_gets_it_in_its_turn(tmp_path: Path) -> None:
+    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
+        conn.sendall(PAY + job("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
+        until(lambda: len(node.got) == 1)
+        program.counters()
+        node.let.set()  # type: ignore[attr-defined]
+        file = conn.makefile("rb")
+        assert read_answer(file)[1].body == b"one" and file.readline().startswith(b"HTTP/1.1 100")
+        assert file.readline() == b"\r\n"
+        conn.sendall(b"late")
+        assert read_answer(file)[1].body == b"late"
+
+
+# --- in this process --------------------------------------------------------------------------------------
+
+
+class Desk(LateDesk):
+    """A sidecar that answers with the body, each time after ``take`` has returned if it is ``slow``."""
+
+    behind = False
+
+    def __init__(self, slow: bool = False, faulty: Callable[[Job], bool] = lambda job: False) -> None:
+        self.slow, self.faulty = slow, faulty
+        self.taken: list[str] = []
+
+    def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
+        return None
+
+    def take(self, session: Session, arrived: float, job: Job, task: Task) -> None:
+        if self.faulty(job):
+            raise KeyError("a fault")
+        self.taken.append(job.id)
+        if not self.slow:
+            session.answer(Final(Verdict.SERVED, 0.0, Reply(Outcome.SERVED, None, task.body)))
+
+
+async def connected(desk: Desk) -> tuple[Session, socket.socket, Counters]:
+    near, far = socket.socketpair()
+    near.setblocking(False)
+    counters = Counters("t")
+    _, session = await asyncio.get_running_loop().create_connection(
+        lambda: Session(desk, counters), sock=near
+    )
+    return session, far, counters
+
+
+def test_fault_in_one_connection_answers_what_was_read() -> None:
+    raws = [job("pay", b"%d" % number) for number in range(5)]
+    third = re.search(rb"Request-Id: (\w+)", raws[2])
+    assert third is not None
+    desk = Desk(faulty=lambda job: job.id == third[1].decode())
+
+    async def play() -> tuple[bytes, Counters]:
+        _, far, counters = await connected(desk)
+        far.sendall(b"".join(raws) + HEALTH)
+        far.setblocking(False)
+        got = b""
+        while data := await asyncio.get_running_loop().sock_recv(far, 65536):
+            got += data
+        far.close()
+        return got, counters
+
+    got, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
+    assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"200"] * 2 + [b"500"] * 4
+    assert (counters["session_faults"], len(desk.taken)) == (1, 2)
+
+
+@pytest.mark.parametrize("small", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", job("pay", b"x")])
+def test_what_is_read_ahead_is_bounded_however_much_comes_at_once(small: bytes) -> None:
+    async def play() -> tuple[int, bool]:
+        session, far, _ = await connected(Desk(slow=True))
+        far.setblocking(False)
+        sent = far.send(PAY + small * (200_000 // len(small)))
+        most = 0
+        for _ in range(50):
+            await asyncio.sleep(0)
+            waiting = session._pipeline
+            most = max(most, len(waiting._requests))
+        assert sent > 50_000 and session.unread()
+        paused = session._flow.paused > 0.0
+        far.close()
+        await asyncio.sleep(0.01)
+        return most, paused
+
+    most, paused = asyncio.run(play())
+    assert paused and MOST_AHEAD <= most <= MOST_AHEAD + 2048 // 18 + 1
+
+
+@pytest.mark.parametrize("sizes", [[10, 5000, 1], [3000] * 4])
+def test_bytes_that_wait_are_handed_out_once_in_order(sizes: list[int]) -> None:
+    pipeline, sent, got = Pipeline(), b"", b""
+    for number, size in enumerate(sizes):
+        data = bytes([number]) * size
+        pipeline.hold(data)
+        sent += data
+        got += bytes(pipeline.next_slice(number))
+    while pipeline.unparsed():
+        got += bytes(pipeline.next_slice(0))
+    assert got == sent and pipeline.empty()
+
+
+@pytest.mark.parametrize(
+    "sent", [b"", PAY, PAY[:-1], job("odd"), b"noise\r\n\r\n", job("pay", LONG)[:100_000]]
+)
+def test_connection_that_is_gone_is_let_go_without_the_collector(sent: bytes) -> None:
+    async def play() -> weakref.ref[Session]:
+        session, far, _ = await connected(Desk())
+        found = weakref.ref(session)
+        far.sendall(sent)
+        await asyncio.sleep(0.01)
+        far.close()
+        del session
+        await asyncio.sleep(0.01)
+        return found
+
+    gc.disable()
+    try:
+        assert asyncio.run(play())() is None
+    finally:
+        gc.enable()
