--- a/indigokeel/net/bodies.py
+++ b/indigokeel/net/bodies.py
@@ -100,11 +100,13 @@
     """A long body of a job, from the submitter's connection to an execute node's, once. ``length`` in bytes,
     -1 where it comes in chunks."""
 
-    __slots__ = ("_dropped", "_held", "_holding", "_sink", "_size", "_source", "length", "passed", "whole")
+    __slots__ = (
+        "_came", "_dropped", "_held", "_holding", "_sink", "_size", "_source", "length", "passed", "whole",
+    )  # fmt: skip
 
     def __init__(self, source: UploadSource, length: int, held: http.Body) -> None:
         self._source, self.length, self._held = source, length, held
-        self._size = sum(map(len, held))
+        self._size = self._came = sum(map(len, held))  # bytes here, and in all so far
         self._sink: Sink | None = None
         self._holding = self._dropped = False
         self.whole = False  # its last byte is here
@@ -115,6 +117,7 @@
             return
         self._held.append(data)
         self._size += len(data)
+        self._came += len(data)
         self.flush()
         if self._size > _HIGH and not self._holding:
             self._holding = True
@@ -133,6 +136,11 @@
         sink = self._sink
         if sink is None or self.passed or not sink.clear():
             return
+        # For the upstream an attempt begins with the last byte. Guards against the client that left while
+        # nothing was read of it, because this side was full.
+        last = self.whole or self._came == self.length
+        if last and self._source.left_by_now():
+            return
         pieces, self._held, self._size = self._held, [], 0
         if self.length < 0:
             pieces = http.chunk(pieces, self.whole)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -360,6 +360,19 @@
     assert not source.paused and upload.all() == []
 
 
+@pytest.mark.parametrize("length", [4, -1])
+def test_last_byte_of_an_upload_whose_client_has_gone_is_not_written(length: int) -> None:
+    source, sink = Side(), Side()
+    upload = Upload(source, length, [b"ab"])
+    upload.attach(sink)
+    before, source.gone = sink.written, True
+    upload.add(b"c")
+    upload.add(b"d")
+    upload.end()
+    written = sink.written[len(before) :]
+    assert not upload.passed and written == (b"c" if length > 0 else b"1\r\nc\r\n1\r\nd\r\n")
+
+
 def test_stream_leaves_its_source_reading_once_it_is_over() -> None:
     source, reader = Side(), Side()
     stream = Stream(source, 5)
