--- a/indigokeel/net/submitters.py
+++ b/indigokeel/net/submitters.py
@@ -26,6 +26,7 @@
 # resets the connection, and what was written last goes with it.
 _MOST_DISCARDED = 256 * 1024
 _INTERNAL = MalformedError(500, "internal error")
+_ENDING = MalformedError(503, "the process ends")
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -161,6 +162,8 @@
         """The last moment: what was read has its answer, and nothing more is begun, parsed or taken."""
         if self.ended:
             return
+        if self._stream is None:  # else that is cut off, and nothing can follow it
+            self._refuse_what_was_read(_ENDING)
         self._end()
 
     def _refuse_what_was_read(self, error: MalformedError) -> None:
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -7,6 +7,7 @@
 import gc
 import json
 import re
+import signal
 import socket
 import weakref
 from collections.abc import Callable
@@ -173,6 +174,17 @@
         assert "shedding load" not in program.log.read_text()
 
 
+def test_what_was_read_when_the_process_ends_has_its_answer(tmp_path: Path) -> None:
+    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
+        conn.settimeout(WAIT)
+        conn.sendall(b"".join(job("pay", b"x", wait_ms=60_000) for _ in range(60)) + HEALTH + job("odd"))
+        until(lambda: len(node.got) == 1)
+        program.process.send_signal(signal.SIGTERM)
+        found = codes_of(conn)
+        assert len(found) == 62 and set(found[:60]) <= {500, 503} and found[60:] == [503, 400]
+        assert program.process.wait(WAIT) == 0 and program.last_counters()["owed"] == 0
+
+
 # --- in this process --------------------------------------------------------------------------------------
 
 
