--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-import math
 import os
 import resource
 import signal
 import socket
 import time
+from collections.abc import Iterator
 from typing import Any
 
 from indigokeel.config import Config, ConfigError, reload_config
@@ -21,6 +21,7 @@
 from indigokeel.net.discovery import Discovery
 from indigokeel.net.exchange import Reply, Task
 from indigokeel.net.handover_file import HandoverFiles
+from indigokeel.net.lifecycle import Shutdown, ShutdownTimes
 from indigokeel.net.listener import ClientListener
 from indigokeel.net.management import MOST as MOST_CALLS
 from indigokeel.net.management import Management
@@ -40,9 +41,7 @@
 _AUDIT = 25  # looks between audits of the descriptors
 _SPARE = 12  # of the reserve: for new clients while all others are at work or have yet to read a last word
 _FIRST_LIST = 1.5  # s in which discovery's first word is awaited, before this process says that it serves
-_KILLED = 3.0, 0.7  # s: SIGKILL comes the longest deadline, at most the first, and the second after SIGTERM
-_LAST = 0.15  # s before that by which all is answered and written, and this long before that it is answered
-_WRITTEN = 0.05
+_LAST_ACCEPTS = 0.01  # s for the loop to take what the system has accepted before the listener goes
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
@@ -96,7 +95,7 @@
         self._began = time.monotonic()
         self._learned: Any = None  # what the process before left, until it is taken in
         self._accepting = False
-        self._ends_at = math.inf
+        self._ending: ShutdownTimes | None = None  # once it has begun
         self.closing = False
         self.behind = False
 
@@ -133,9 +132,12 @@
         """Take a job; its answer goes to the session, perhaps at once."""
         self._waiting[job.id] = session, task
         self._sessions.brought(session)
-        if self._ends_at < math.inf:  # it is answered while this process still is
-            job.budget = min(job.budget, max(self._ends_at - _WRITTEN - arrived, 0.02))
+        if self._ending is not None:  # it is answered while this process still is
+            job.budget = min(job.budget, max(self._ending.answer_by - arrived, 0.02))
         self._carry_out(self._facade.pick(arrived, job))
+        if self._ending is not None and job.long:  # its time starts with its last byte, and ends no later
+            self._facade.finish(self._ending.answer_by)
+            self._timer.lower()
 
     def uploaded(self, job_id: str) -> None:
         self._facade.uploaded(time.monotonic(), job_id)
@@ -143,6 +145,8 @@
 
     def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
         wait = self._facade.turn_away(arrived, job_class, budget)
+        if self._ending is not None and time.monotonic() >= self._ending.take_until:
+            wait = self.settings.limits.max_retry_after
         if wait is not None:
             self._sessions.brought(session)
         return wait
@@ -391,39 +395,36 @@
         """Graceful shutdown: take requests for a while, answer all that was taken before SIGKILL would come,
         and see that the answers go out."""
         self._counters.log("stopping")
+        attempt = self._supervisor.attempt
         longest = max(cls.deadline for cls in self.settings.classes)
+        shared = self._config.listen_fd >= 0
         # Nothing taken is answered any later, whether it came before or comes now.
-        self._ends_at = time.monotonic() + min(longest, _KILLED[0]) + _KILLED[1] - _LAST
-        self._facade.finish(self._ends_at - _WRITTEN)
+        accept = 0.0 if shared else _ACCEPT_ON + _LAST_ACCEPTS
+        times = self._ending = ShutdownTimes.plan(time.monotonic(), longest, accept, _HALF_READ)
+        attempt("shutdown", self._facade.finish, times.answer_by)
         self._timer.reset()
-        shared = self._config.listen_fd >= 0
-        # With another process that accepts already, no connection is closed on a submitter that may be
-        # writing: each ends with its next answer, or as idle.
         if not shared:
             await asyncio.sleep(_ACCEPT_ON)
         self.closing, self._accepting = True, False
         # What the system has accepted already is ours, where nobody else takes it.
-        await clients.close(drain=not shared)
+        await self._supervisor.attempt_async("closing the listener", clients.close, not shared)
         if not shared:
-            await asyncio.sleep(0.01)  # those taken last may be about to write
-        # A message that is only half here is not owed an answer; it may still become whole for a moment.
-        patience = time.monotonic() + _HALF_READ
-        while self._sessions and time.monotonic() < self._ends_at:
-            if not shared:
-                for session in self._sessions:
-                    if session.idle():
-                        session.close()
-                if time.monotonic() >= patience and not self._anything_owed():
-                    break
-            await asyncio.sleep(0.02)
-        for session in self._sessions:
-            session.close()
-        # Their peers have yet to read what was written last, and to close.
-        while self._sessions and time.monotonic() < self._ends_at:
-            await asyncio.sleep(0.01)
-            for session in self._sessions:
-                session.look(time.monotonic())
-        self._management.close()
+            await asyncio.sleep(_LAST_ACCEPTS)  # those accepted last may be about to write
+        await Shutdown(self, self._supervisor, times, shared).run()
+        attempt("closing the operators' listener", self._management.close)
+
+    def client_connections(self) -> Iterator[Session]:
+        return iter(self._sessions)
+
+    def answers_owed(self) -> bool:
+        return self._anything_owed()
+
+    def answer_all(self) -> None:
+        """Give every open request its final answer: what the facade has due, and, should a fault have kept
+        any from that, a plain failure."""
+        self._supervisor.attempt("the last answers", self._run_due)
+        for job_id in list(self._waiting):
+            self._answer(Answer(job_id, Verdict.FAILED), None)
 
     # --- counters and the audit -----------------------------------------------------------------------
 
--- a/indigokeel/net/supervision.py
+++ b/indigokeel/net/supervision.py
@@ -36,7 +36,7 @@
         if self._stopped:
             return
         assert self._group is not None
-        task = self._group.create_task(self._run(what, call, *args))
+        task = self._group.create_task(self.attempt_async(what, call, *args))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -53,6 +53,13 @@
             self.fault(what, error)
             return None
 
+    async def attempt_async(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Await ``call(*args)``; an exception is logged and counted, and takes nothing else along."""
+        try:
+            await call(*args)
+        except Exception as error:
+            self.fault(what, error)
+
     def fault(self, what: str, error: BaseException | None) -> None:
         """Log and count an exception that nothing handled."""
         self._counters.add("task_faults")
@@ -69,12 +76,6 @@
         for task in list(self._tasks):
             task.cancel()
 
-    async def _run(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        try:
-            await call(*args)
-        except Exception as error:  # a fault never takes the other tasks with it
-            self.fault(what, error)
-
     async def _restart(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
         pause = _RESTART_PAUSE_S
         while True:
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,237 @@
+"""The end of the process under load: SIGKILL as early as it may come, and faults within the shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import socket
+import threading
+import time
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from indigokeel.facade import Facade
+from indigokeel.net import sidecar
+from indigokeel.net.client_connections import ClientConnections
+from indigokeel.net.counters import Counters
+from indigokeel.net.lifecycle import ShutdownTimes
+from indigokeel.net.listener import ClientListener
+from indigokeel.net.management import Management
+from indigokeel.net.submitters import Session
+from tests.peers import SETTINGS, WAIT, Message, Program, echo, job, read_answer, running, until
+from tests.test_supervision import Fault, Running
+
+STARVED_S = 0.05  # a pause of the whole machine for so long says nothing of the program
+PLAYS = 10
+
+
+def deadlines(seconds: float) -> dict[str, Any]:
+    """The settings with one deadline for all classes."""
+    return {
+        **SETTINGS,
+        "classes": [
+            {**cls, "deadline-s": seconds, "objective-s": seconds / 2.0} for cls in SETTINGS["classes"]
+        ],
+    }
+
+
+# --- SIGKILL early ----------------------------------------------------------------------------------------
+
+
+class Client:
+    """Sends on one open connection until it breaks, also behind an answer that ends it, and reads all
+    answers. ``ahead`` requests are out at a time; ``halves``: half of the next one always is, too."""
+
+    def __init__(self, program: Program, ahead: int, halves: bool) -> None:
+        self.conn = program.connect()
+        self.ahead, self.halves = ahead, halves
+        self.sent: list[str] = []  # ids, in their order; the last may not be whole
+        self.answers = 0
+        self.broken: object = None  # what came that is no whole answer
+        self.threads = [threading.Thread(target=run, daemon=True) for run in (self._read, self._send)]
+        for thread in self.threads:
+            thread.start()
+
+    def _send(self) -> None:
+        rest = b""
+        try:
+            while True:
+                while len(self.sent) - self.answers >= self.ahead:
+                    if not self.threads[0].is_alive():
+                        return
+                    time.sleep(0.001)
+                message = job("pay", b"x" * 50)
+                cut = len(message) // 2 if self.halves else len(message)
+                self.sent.append(message.partition(b"Request-Id: ")[2][:16].decode())
+                self.conn.sendall(rest + message[:cut])
+                rest = message[cut:]
+                time.sleep(0.001)
+        except OSError:
+            return
+
+    def _read(self) -> None:
+        file = self.conn.makefile("rb")
+        try:
+            while file.peek(1):
+                read_answer(file)
+                self.answers += 1
+        except ConnectionResetError:
+            return
+        except Exception as error:
+            self.broken = error
+
+    def join(self) -> None:
+        for thread in self.threads:
+            thread.join(WAIT)
+        self.conn.close()
+
+
+class Witness:
+    """Sees whether this machine stood still: by how much a short sleep took too long."""
+
+    def __init__(self) -> None:
+        self.worst, self._ended = 0.0, threading.Event()
+        self._thread = threading.Thread(target=self._watch, daemon=True)
+        self._thread.start()
+
+    def _watch(self) -> None:
+        while not self._ended.is_set():
+            began = time.monotonic()
+            time.sleep(0.005)
+            self.worst = max(self.worst, time.monotonic() - began - 0.005)
+
+    def end(self) -> float:
+        self._ended.set()
+        self._thread.join()
+        return self.worst
+
+
+def play_early_kill(tmp: Path, deadline: float) -> tuple[bool, list[object]]:
+    """One shutdown under load. Whether the machine kept step, and what was wrong."""
+    stop = threading.Event()
+
+    def slow(message: Message) -> bytes:
+        if message.headers["request-id"].endswith(("0", "7")):
+            stop.wait(WAIT)
+        return echo(message)
+
+    with running(tmp, echo, slow, settings=deadlines(deadline)) as (program, nodes, _):
+        shapes = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
+        clients = [Client(program, *shape) for shape in shapes]
+        until(lambda: all(client.answers >= 3 for client in clients))
+        witness = Witness()
+        program.process.send_signal(signal.SIGTERM)
+        kill_at = time.monotonic() + min(deadline, 3.0) + 0.7
+        while time.monotonic() < kill_at and program.process.poll() is None:
+            time.sleep(0.002)
+        program.process.kill()
+        code = program.process.wait()
+        worst = witness.end()
+        for client in clients:
+            client.join()
+        stop.set()
+        wrong: list[object] = [client.broken for client in clients if client.broken is not None]
+        if code != 0:
+            wrong.append(f"ended with {code}")
+        answered = {name for client in clients for name in client.sent[: client.answers]}
+        seen = {message.headers["request-id"] for node in nodes for message in node.got}
+        wrong += sorted(seen - answered)
+        if code == 0:
+            counters = program.last_counters()
+            read = counters["jobs_taken"] + counters.get("jobs_turned_away", 0)
+            if read != len(answered):
+                wrong.append(f"{read:.0f} read, {len(answered)} answered")
+    return worst < STARVED_S, wrong
+
+
+@pytest.mark.parametrize("deadline", [0.2, 0.5, 1.0])
+def test_all_that_was_read_is_answered_before_an_early_sigkill(tmp_path: Path, deadline: float) -> None:
+    """Clients go on sending on open connections until SIGKILL, at the first moment it may come. Found by
+    reading: with short deadlines a request taken in the last moment lost its answer."""
+    for _ in range(PLAYS):
+        sound, wrong = play_early_kill(tmp_path, deadline)
+        if sound:
+            assert wrong == []
+            return
+    pytest.fail("the machine stood still in each play: this shows nothing")
+
+
+@pytest.mark.parametrize("deadline", [0.01, 0.2, 0.5, 1.0, 3.0, 60.0])
+def test_steps_of_a_shutdown_are_in_order_and_before_sigkill(deadline: float) -> None:
+    times = ShutdownTimes.plan(100.0, deadline, 0.5, 0.2)
+    assert 100.0 < times.take_until < times.answer_by < times.close_at < times.exit_by
+    assert times.exit_by < 100.0 + min(deadline, 3.0) + 0.7
+    # Taken last, it still has half of its deadline, or as much as any short request needs.
+    assert times.answer_by - times.take_until >= min(deadline / 2.0, 0.05) - 1e-9
+    # Accepted last, it is taken as always, but where the deadline is less than what an exit needs.
+    assert times.take_until >= times.accept_until or deadline < 0.1
+
+
+def test_request_that_is_read_after_the_last_moment_is_refused_and_not_sent_on(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The last moment comes at once here, the end of all reading much later."""
+
+    def plan(now: float, *_: float) -> ShutdownTimes:
+        return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
+
+    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
+    monkeypatch.setattr(ShutdownTimes, "plan", plan)
+    running = Running(tmp_path)
+
+    async def script() -> None:
+        with socket.create_connection(running.listener.getsockname(), timeout=WAIT) as conn:
+            first = job("pay", b"first")
+            conn.sendall(first[:-1])  # half of it is here, so that the connection stays
+            await asyncio.sleep(0.05)
+            os.kill(os.getpid(), signal.SIGTERM)
+            while not running.sidecar.closing:
+                await asyncio.sleep(0.001)
+            conn.sendall(first[-1:])
+            code, answer = await asyncio.to_thread(read_answer, conn.makefile("rb"))
+            assert code == 503 and answer.headers["connection"] == "close"
+            assert running.node.got == []
+
+    running.play(script)
+
+
+# --- faults within the shutdown -----------------------------------------------------------------------------
+
+FAULTS: list[tuple[object, str]] = [
+    (Facade, "finish"),
+    (Facade, "tick"),
+    (Facade, "due"),
+    (ClientConnections, "__iter__"),
+    (Session, "idle"),
+    (Session, "close"),
+    (ClientListener, "close"),
+    (Management, "close"),
+    (sidecar.Sidecar, "_anything_owed"),
+    (Counters, "dump"),
+]
+
+
+@pytest.mark.parametrize(("owner", "method"), FAULTS)
+def test_fault_within_the_shutdown_leaves_no_request_unanswered(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
+) -> None:
+    """The upstream is silent, and from SIGTERM on the method raises each time: one whole answer still."""
+    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
+    monkeypatch.setattr(sidecar, "_HALF_READ", 0.0)
+    running = Running(tmp_path, deadlines(0.5))
+    running.node.script = lambda message: b""
+    fault = Fault(monkeypatch, owner, method, 0)
+
+    async def script() -> None:
+        answer = asyncio.create_task(asyncio.to_thread(running.ask, job("pay", b"1")))
+        while not running.node.got:
+            await asyncio.sleep(0.001)
+        fault.times = 10**6
+        os.kill(os.getpid(), signal.SIGTERM)
+        assert await answer == 500
+
+    running.play(script)
+    assert running.counters["task_faults"] >= 1
