--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -34,6 +34,9 @@
 
     def resume(self) -> None: ...
 
+    def left_by_now(self) -> bool:
+        return False
+
 
 class Process:
     """A pool before one upstream, in a process that can be held up at a step of the way to a first byte."""
