--- a/indigokeel/cordons.py
+++ b/indigokeel/cordons.py
@@ -40,6 +40,7 @@
     def __init__(self) -> None:
         self._marks: dict[str, Mark] = {}
         self._highest = 0  # sequence number that was seen
+        self.revision = 0  # changes with each mark that is new
 
     def cordon(self, who: str, now: float, by: str = "operator", until: float = math.inf) -> bool:
         """Take a node out; False where it is out already, which then stays as it was."""
@@ -109,6 +110,7 @@
         self._marks.pop(mark.who, None)
         self._marks[mark.who] = mark
         self._highest = max(self._highest, mark.sequence)
+        self.revision += 1
         if len(self._marks) > _MOST:  # the oldest word on a node that was given back goes first
             back = next((who for who, m in self._marks.items() if not m.out), next(iter(self._marks)))
             del self._marks[back]
--- a/indigokeel/net/handover_file.py
+++ b/indigokeel/net/handover_file.py
@@ -1,9 +1,13 @@
 """The files by which the processes of one sidecar tell each other what they know.
 
-Each process has one at a time, under a name that no file had before: a new one is written beside it, whole
-by rename, and the one before goes. Guards against the file system (ext4) that writes a file out to its disk
-when it takes the place of another: that took 77 ms in the middle and up to 270 ms, in which a process moves
-no job, so that all its claims time out and half of the nodes go to quarantine. Under a new name: 0.3 ms.
+Each process has two at a time: one with all that it knows, written once a second, and one with the operators'
+marks alone, which is on disk (synced, renamed, and the folder synced) before a call is answered with yes, and
+which outlasts a loss of power. Each is put under a name that no file had before: a new one is written beside
+it, whole by rename, and only then the one before goes.
+
+Guards against the file system (ext4) that writes a file out to its disk when it takes the place of another:
+that took 77 ms in the middle and up to 270 ms, in which a process moves no job, so that all its claims time
+out and half of the nodes go to quarantine. Under a new name: 0.3 ms.
 
 A name holds a number, one more than the highest in the folder, and the process's id: the higher number is the
 newer file, whatever the clocks did. Processes of older versions put Unix nanoseconds there, which the numbers
@@ -36,7 +40,9 @@
         self._seen: set[str] = set()  # of them, what was read, or is this process's own
         self._failed: set[str] = set()  # of them, what could not be read, and is tried again after the others
         self._highest = 0  # number that a name had
-        self._mine = ""
+        self._mine: dict[bool, str] = {}  # this process's file that is synced, and the one that is not
+        self._reserved: set[str] = set()  # names that are being written
+        self.synced_lost = False  # somebody took this process's synced file away, as the last look found
 
     def fresh(self, now: float) -> list[str]:
         """The names of what was not read yet, newest first. One look at the folder at clock time ``now``;
@@ -49,7 +55,9 @@
         self._highest = max([self._highest, *map(_number, names)])
         self._seen.intersection_update(names)
         self._failed.intersection_update(names)
-        unread = [name for name in names if name not in self._seen and name[-1] != "~"]
+        self.synced_lost = True in self._mine and self._mine[True] not in names
+        known = self._seen | self._reserved
+        unread = [name for name in names if name not in known and name[-1] != "~"]
         return sorted(unread, key=lambda n: (n not in self._failed, _number(n)), reverse=True)[:_MOST]
 
     def read(self, name: str, moment: Moment) -> Handover | None:
@@ -88,36 +96,65 @@
             os.close(fd)
 
     def write(self, data: bytes) -> None:
-        """Put other bytes in the place of this process's file; raises OSError where that is not possible, and
-        the one before stays."""
+        """Put other bytes in the place of this process's file that is not synced; raises OSError where that
+        is not possible, and the one before stays."""
+        name = self.reserve()
+        try:
+            self.put(name, data)
+        except OSError:
+            self.give_up(name)
+            raise
+        self.adopt(name)
+
+    def reserve(self) -> str:
+        """A name for ``put``, to be given to ``adopt`` or ``give_up`` afterwards."""
         self._highest += 1
         name = f"{self._prefix}{self._highest}-{os.getpid()}"
-        new = self._folder / (name + "~")
+        self._reserved.add(name)
+        return name
+
+    def put(self, name: str, data: bytes, synced: bool = False) -> None:
+        """Write a whole file; raises OSError, and leaves none. Changes nothing of this object: it may be
+        called in another thread, for a sync may take as long as the disk is busy."""
+        half, whole = self._folder / (name + "~"), self._folder / name
         try:
-            fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+            fd = os.open(half, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
             try:
-                rest = memoryview(data)
-                while rest:
-                    rest = rest[os.write(fd, rest) :]
+                _write(fd, data)
+                if synced:
+                    os.fsync(fd)
             finally:
                 os.close(fd)
-            new.rename(self._folder / name)
+            half.rename(whole)
+            if synced:
+                _sync_folder(self._folder)
         except OSError:
-            with contextlib.suppress(OSError):
-                new.unlink()
+            for path in (half, whole):
+                with contextlib.suppress(OSError):
+                    path.unlink()
             raise
+
+    def adopt(self, name: str, synced: bool = False) -> None:
+        """What was put under this name takes the place of the one before."""
+        self._reserved.discard(name)
         self._seen.add(name)
-        before, self._mine = self._mine, name
-        if before:
+        before = self._mine.get(synced)
+        self._mine[synced] = name
+        if before is not None:
             with contextlib.suppress(OSError):
                 (self._folder / before).unlink()
 
+    def give_up(self, name: str) -> None:
+        """Nothing was put under this name."""
+        self._reserved.discard(name)
+
     def tidy(self, now: float) -> None:
         """Take away what processes that are gone have left: what has stood in the folder for long and was
         read here, or is half-written."""
+        own = self._reserved.union(self._mine.values())
         for name, since in self._found.items():
             left = name in self._seen or name[-1] == "~"
-            if left and name != self._mine and now - since >= _KEPT:
+            if left and name.rstrip("~") not in own and now - since >= _KEPT:
                 with contextlib.suppress(OSError):
                     (self._folder / name).unlink()
 
@@ -127,3 +164,24 @@
     digits = name.rpartition(".")[2].partition("-")[0]
     plain = digits.isdigit() and digits.isascii() and len(digits) < 25
     return int(digits) if plain and int(digits) < _MOST_NUMBER else 0
+
+
+def _write(fd: int, data: bytes) -> None:
+    rest = memoryview(data)
+    while rest:
+        written = os.write(fd, rest)
+        if written <= 0:
+            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
+        rest = rest[written:]
+
+
+def _sync_folder(folder: Path) -> None:
+    """See that a name in the folder outlasts a loss of power, where the file system can say so."""
+    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    try:
+        os.fsync(fd)
+    except OSError as error:
+        if error.errno != errno.EINVAL:  # this file system syncs no folders
+            raise
+    finally:
+        os.close(fd)
--- a/indigokeel/net/management.py
+++ b/indigokeel/net/management.py
@@ -1,4 +1,4 @@
-"""The operators' address: HTTP/1.1, one call a connection, each answered as soon as it is read.
+"""The operators' address: HTTP/1.1, one call a connection, each answered as soon as its answer is known.
 
 It runs on the sidecar's loop and keeps nothing: a call becomes one of three plain questions to the desk.
 """
@@ -6,6 +6,8 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
+from enum import Enum
 from typing import Protocol, cast
 
 import httptools
@@ -21,17 +23,25 @@
 _LINGER = 0.5  # s between the answer and the close, for a caller that is still sending
 
 
+class CallResult(Enum):
+    """What became of a call to take an upstream out or give it back: a status and its text."""
+
+    STORED = 200, "yes"
+    UNKNOWN = 404, "nobody has a node of this id"
+    NOT_STORED = 503, "in force here, but not on disk yet, which is tried on: call again to hear of it"
+
+
 class Desk(Protocol):
     """What the calls ask."""
 
     def serves(self) -> bool:
         """Whether this process can serve jobs now."""
 
-    def cordon(self, who: str) -> bool:
-        """Take a node out; False where nobody has it."""
+    def cordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
+        """Take a node out; ``answer`` is called at once or later."""
 
-    def uncordon(self, who: str) -> bool:
-        """Give a node back; False where nobody has it."""
+    def uncordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
+        """Give a node back; ``answer`` is called at once or later."""
 
 
 class Management:
@@ -68,7 +78,18 @@
 class Call(asyncio.Protocol):
     """One connection. httptools calls the ``on_`` methods."""
 
-    __slots__ = ("_body", "_headers", "_room", "_parser", "_size", "_target", "_timer", "_transport", "fd")
+    __slots__ = (
+        "_body",
+        "_headers",
+        "_room",
+        "_parser",
+        "_size",
+        "_target",
+        "_timer",
+        "_transport",
+        "_waits",
+        "fd",
+    )
 
     def __init__(self, room: Management) -> None:
         self._room = room
@@ -78,6 +99,7 @@
         self._target = self._body = b""
         self._headers: dict[bytes, bytes] = {}
         self._size = 0
+        self._waits = False  # for the answer to a whole call
         self.fd = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -93,7 +115,7 @@
         self._room.calls.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        if self._parser is None:
+        if self._parser is None or self._waits:
             return  # behind the call, or after what could not be read
         self._size += len(data)
         try:
@@ -142,9 +164,9 @@
             if method != b"PUT":
                 raise MalformedError(405, "only PUT")
             who = _who(self._body)
-            if not (desk.cordon(who) if path == b"/admin/cordon" else desk.uncordon(who)):
-                raise MalformedError(404, "nobody has a node of this id")
-            self._answer(200, "yes")
+            self._waits = True
+            call = desk.cordon if path == b"/admin/cordon" else desk.uncordon
+            call(who, self._settle)
         else:
             raise MalformedError(404, "there is no such call")
 
@@ -165,11 +187,17 @@
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(_LINGER, self.drop)
 
+    def _settle(self, result: CallResult) -> None:
+        self._answer(*result.value)
+
     def _refuse(self, error: MalformedError) -> None:
         self._answer(error.status, str(error))
 
     def _too_late(self) -> None:
-        self._answer(408, "the call took too long")
+        if self._waits:
+            self._settle(CallResult.NOT_STORED)
+        else:
+            self._answer(408, "the call took too long")
 
     def drop(self) -> None:
         """Close it at once."""
--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -8,7 +8,7 @@
 import signal
 import socket
 import time
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from typing import Any
 
 from indigokeel.config import Config, ConfigError, reload_config
@@ -25,7 +25,7 @@
 from indigokeel.net.lifecycle import Shutdown, ShutdownTimes
 from indigokeel.net.listener import ClientListener
 from indigokeel.net.management import MOST as MOST_CALLS
-from indigokeel.net.management import Management
+from indigokeel.net.management import CallResult, Management
 from indigokeel.net.pool import Pool
 from indigokeel.net.request_timer import RequestTimer
 from indigokeel.net.state_persistence import StatePersistence
@@ -110,21 +110,24 @@
         heard = self._discovery.answered or time.monotonic() - self._began > _FIRST_LIST
         return self._accepting and heard and self.healthy()
 
-    def cordon(self, who: str) -> bool:
-        return self._told("cordon", who, self._facade.cordon(time.monotonic(), who))
+    def cordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
+        self._told("cordon", who, self._facade.cordon(time.monotonic(), who), answer)
 
-    def uncordon(self, who: str) -> bool:
-        return self._told("uncordon", who, self._facade.uncordon(time.monotonic(), who))
+    def uncordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
+        self._told("uncordon", who, self._facade.uncordon(time.monotonic(), who), answer)
 
-    def _told(self, call: str, who: str, orders: Orders | None) -> bool:
+    def _told(self, call: str, who: str, orders: Orders | None, answer: Callable[[CallResult], None]) -> None:
         self._counters.log(f"{call} of {who}" + (": nobody has it" if orders is None else ""))
         if orders is None:
-            return False
+            answer(CallResult.UNKNOWN)
+            return
         self._counters.add(f"{call}s")
         self._carry_out(orders)
-        if self._persistence is not None:
-            self._persistence.persist()  # before the yes: the next process is bound by it too
-        return True
+        if self._persistence is None:
+            answer(CallResult.STORED)  # there is no folder, and no process that would read it
+            return
+        # Before the yes: the next process is bound by it too.
+        self._persistence.store(lambda yes: answer(CallResult.STORED if yes else CallResult.NOT_STORED))
 
     def knows(self, job_id: str) -> bool:
         return self._facade.knows(job_id)
@@ -325,6 +328,7 @@
                 self._use_known()
             if self._persistence is not None:
                 self._supervisor.keep_running("sync", self._persistence.synchronise, lambda: self.closing)
+                self._supervisor.keep_running("store", self._persistence.keep_stored)
             if self._config.mgmt is not None:
                 self._supervisor.keep_running("management", self._manage, self._config.mgmt)
             clients = ClientListener(loop, listener, lambda: Session(self, self._counters), self._counters)
@@ -347,6 +351,9 @@
                     self._supervisor.attempt("reload", self._reload)
             signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # for good: the loop lets go of it
             await self._end(clients)
+            if self._persistence is not None and self._ending is not None:
+                finish = self._persistence.finish
+                await self._supervisor.attempt_async("the last state", finish, self._ending.exit_by)
             self._supervisor.cancel_all()
         self._dump()
 
