--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -143,6 +143,21 @@
     quick.close()
 
 
+def test_long_body_that_is_whole_before_its_turn_leaves_the_connection_read(tmp_path: Path) -> None:
+    """Nobody took back that its connection was to wait: nothing more was ever read on it."""
+    pieces = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
+    long = job("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + pieces
+    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
+        conn.sendall(PAY + long)
+        until(lambda: len(node.got) == 1)
+        program.counters()
+        node.let.set()  # type: ignore[attr-defined]
+        file = conn.makefile("rb")
+        assert read_answer(file)[0] == read_answer(file)[0] == 200
+        conn.sendall(LAST)
+        assert read_answer(file)[1].body == b"last"
+
+
 def test_client_that_waits_for_a_word_behind_another_request_gets_it_in_its_turn(tmp_path: Path) -> None:
     with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
         conn.sendall(PAY + job("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
