--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -211,6 +211,7 @@
     def __init__(self, slow: bool = False, faulty: Callable[[Job], bool] = lambda job: False) -> None:
         self.slow, self.faulty = slow, faulty
         self.taken: list[str] = []
+        self.budget = 0.0  # of the last one
 
     def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
         return None
@@ -219,6 +220,7 @@
         if self.faulty(job):
             raise KeyError("a fault")
         self.taken.append(job.id)
+        self.budget = job.budget
         if not self.slow:
             session.answer(Final(Verdict.SERVED, 0.0, Reply(Outcome.SERVED, None, task.body)))
 
@@ -275,6 +277,27 @@
     assert paused and MOST_AHEAD <= most <= MOST_AHEAD + 2048 // 18 + 1
 
 
+def test_request_that_came_while_nothing_was_read_has_no_more_time_than_its_client() -> None:
+    async def play() -> list[float]:
+        desk, budgets = Desk(slow=True), []
+        session, far, _ = await connected(desk)
+        far.sendall(b"".join(job("pay", b"x") for _ in range(1 + MOST_AHEAD)))
+        while not session._flow.paused:
+            await asyncio.sleep(0.001)
+        far.sendall(job("pay", b"late"))
+        await asyncio.sleep(0.2)
+        for number in range(1, 3 + MOST_AHEAD):
+            while len(desk.taken) < number:
+                await asyncio.sleep(0.001)
+            budgets.append(desk.budget)
+            session.answer(Final(Verdict.SERVED))
+        far.close()
+        return budgets
+
+    budgets = asyncio.run(asyncio.wait_for(play(), WAIT))
+    assert budgets[0] <= 5.0 and all(budget <= 4.8 for budget in budgets[1:])
+
+
 @pytest.mark.parametrize("sizes", [[10, 5000, 1], [3000] * 4])
 def test_bytes_that_wait_are_handed_out_once_in_order(sizes: list[int]) -> None:
     pipeline, sent, got = Pipeline(), b"", b""
