--- a/indigokeel/net/client_connections.py
+++ b/indigokeel/net/client_connections.py
@@ -106,5 +106,17 @@
             found = next((c for c in self._others(newest) if c.stuck_for(now) > 0.0), newest)
         return found
 
+    def to_close_for_waiting(self, now: float) -> C | None:
+        """Which one goes so that a client that waits in the backlog can be accepted; None where all are at
+        work, or came just now."""
+        ending = next((c for c in islice(self._ending, _LOOKS) if not c.unwritten()), None)
+        if ending is not None:
+            return ending
+        for connection, came in islice(self._newcomers.items(), _LOOKS):
+            if now - came > _YOUNG and connection.idle():
+                return connection
+        found = next((c for c in islice(self._workers, _LOOKS) if c.idle()), None)
+        return found if found is not None and found.idle_for(now) >= _MAY_CLOSE else None
+
     def _others(self, newest: C) -> Iterator[C]:
         return (connection for connection in self._newcomers if connection is not newest)
--- a/indigokeel/net/connections/manager.py
+++ b/indigokeel/net/connections/manager.py
@@ -170,6 +170,15 @@
             del self._circuits[key]
         self._holds.forget(now - _CIRCUIT_KEPT)
 
+    def shed_idle(self) -> bool:
+        """Close the connection that has stood idle for longest; False where none does."""
+        oldest = self.books.oldest_idle()
+        if oldest is None:
+            return False
+        self._shed(oldest)
+        self._count("idle_shed")
+        return True
+
     def idle(self) -> int:
         """How many connections stand idle."""
         return self.books.idle()
--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -187,6 +187,16 @@
         if found.give_way():
             self.gone(found)
 
+    def _make_room_for_waiting(self) -> None:
+        """No client can be accepted for want of descriptors or memory: close what is idle, one connection to
+        an upstream and one of a client, since either may be all there is."""
+        self._pool.connections.shed_idle()
+        found = self._sessions.to_close_for_waiting(time.monotonic())
+        if found is not None:
+            self._counters.add("submitters_shed")
+            found.abort()
+            self.gone(found)
+
     # --- what the facade orders -----------------------------------------------------------------------
 
     def _carry_out(self, orders: Orders, reply: Reply | None = None) -> None:
@@ -331,7 +341,13 @@
                 self._supervisor.keep_running("store", self._persistence.keep_stored)
             if self._config.mgmt is not None:
                 self._supervisor.keep_running("management", self._manage, self._config.mgmt)
-            clients = ClientListener(loop, listener, lambda: Session(self, self._counters), self._counters)
+            clients = ClientListener(
+                loop,
+                listener,
+                lambda: Session(self, self._counters),
+                self._counters,
+                self._make_room_for_waiting,
+            )
             clients.open()
             self._accepting = True
             self._audit = Audit(
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -307,3 +307,17 @@
         assert ask_while_stopped(program, 20) == [200] * 20
         counters = program.counters()
         assert counters["accept_errors"] == counters["accept_pauses"] > 0
+
+
+def test_silent_clients_that_hold_all_descriptors_make_room_for_one_that_waits(tmp_path: Path) -> None:
+    """They would keep their places for 2.2 s each, by tens: the client would wait for seconds."""
+    with running(tmp_path, echo) as (program, _, _d):
+        assert program.ask(job())[0] == 200
+        until(lambda: program.counters()["submitter_connections_open"] == 0)
+        soft = max(map(int, os.listdir(f"/proc/{program.process.pid}/fd"))) + 4
+        resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
+        with contextlib.ExitStack() as stack:
+            for _ in range(10):
+                stack.enter_context(program.connect())
+            assert program.ask(HEALTH)[0] == 200
+            assert program.counters()["submitters_shed"] > 0
