--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -12,11 +12,13 @@
 import weakref
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from indigokeel.net.counters import Counters
 from indigokeel.net.exchange import Reply, Task
+from indigokeel.net.jobs import read_job
 from indigokeel.net.pipeline import MOST_AHEAD, Pipeline
 from indigokeel.net.submitters import Final, Session
 from indigokeel.orders import Job, Outcome, Verdict
@@ -235,24 +237,48 @@
     return session, far, counters
 
 
+async def read_to_the_end(far: socket.socket) -> list[bytes]:
+    """The codes of all answers."""
+    far.setblocking(False)
+    got = b""
+    while data := await asyncio.get_running_loop().sock_recv(far, 65536):
+        got += data
+    far.close()
+    return re.findall(rb"HTTP/1.1 (\d+)", got)
+
+
+def test_fault_while_a_connection_is_read_leaves_what_came_before_to_be_served(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def faulty(method: bytes, *args: Any) -> tuple[Job, Task]:
+        if method == b"PUT":
+            raise KeyError("a fault")
+        return read_job(method, *args)
+
+    monkeypatch.setattr("indigokeel.net.request_reader.read_job", faulty)
+
+    async def play() -> tuple[list[bytes], Counters]:
+        _, far, counters = await connected(Desk())
+        far.sendall(PAY + LAST + PAY.replace(b"POST", b"PUT") + PAY)
+        return await read_to_the_end(far), counters
+
+    codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
+    assert codes == [b"200", b"200", b"500"] and counters["session_faults"] == 1
+
+
 def test_fault_in_one_connection_answers_what_was_read() -> None:
     raws = [job("pay", b"%d" % number) for number in range(5)]
     third = re.search(rb"Request-Id: (\w+)", raws[2])
     assert third is not None
     desk = Desk(faulty=lambda job: job.id == third[1].decode())
 
-    async def play() -> tuple[bytes, Counters]:
+    async def play() -> tuple[list[bytes], Counters]:
         _, far, counters = await connected(desk)
         far.sendall(b"".join(raws) + HEALTH)
-        far.setblocking(False)
-        got = b""
-        while data := await asyncio.get_running_loop().sock_recv(far, 65536):
-            got += data
-        far.close()
-        return got, counters
+        return await read_to_the_end(far), counters
 
-    got, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
-    assert re.findall(rb"HTTP/1.1 (\d+)", got) == [b"200"] * 2 + [b"500"] * 4
+    codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
+    assert codes == [b"200"] * 2 + [b"500"] * 4
     assert (counters["session_faults"], len(desk.taken)) == (1, 2)
 
 
