--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/net/sidecar.py
@@ -20,18 +20,18 @@
 from indigokeel.net.connections import Audit
 from indigokeel.net.counters import Counters
 from indigokeel.net.discovery import Discovery
-from indigokeel.net.exchange import Reply, Task
+from indigokeel.net.exchange import Task
 from indigokeel.net.handover_file import HandoverFiles
 from indigokeel.net.lifecycle import Shutdown, ShutdownTimes
 from indigokeel.net.listener import ClientListener
 from indigokeel.net.management import MOST as MOST_CALLS
 from indigokeel.net.management import CallResult, Management
+from indigokeel.net.order_executor import OrderExecutor
 from indigokeel.net.pool import Pool
-from indigokeel.net.request_timer import RequestTimer
 from indigokeel.net.state_persistence import StatePersistence
-from indigokeel.net.submitters import Final, Session
+from indigokeel.net.submitters import Session
 from indigokeel.net.supervision import Supervisor
-from indigokeel.orders import Answer, Claim, Job, Orders, Outcome, Verdict
+from indigokeel.orders import Job, Orders
 
 _RESERVE = 32  # descriptors kept for the log, discovery, the event loop and what the system wants
 _SUBMITTERS = 0.55  # of the others: for submitters, whose crowds come and go; the rest for execute nodes
@@ -78,10 +78,11 @@
         )
         self._discovery.pushed = not config.settings.ask_membership
         self._known: MachineList | None = None  # the list as last had, until it is taken in
-        self._waiting: dict[str, tuple[Session, Task]] = {}  # jobs whose answer is awaited
         self._lag = 0.0
         self._supervisor = Supervisor(self._counters)
-        self._timer = RequestTimer(self._facade.due, self._run_due, self._supervisor)
+        self._executor = OrderExecutor(
+            self._facade, self._pool, self._discovery, self._supervisor, self._counters
+        )
         self._audit: Audit
         self._management = Management(self, self._counters)
         self._persistence: StatePersistence | None = None
@@ -134,18 +135,18 @@
 
     def take(self, session: Session, arrived: float, job: Job, task: Task) -> None:
         """Take a job; its answer goes to the session, perhaps at once."""
-        self._waiting[job.id] = session, task
+        self._executor.expect(job.id, session, task)
         self._sessions.brought(session)
         if self._ending is not None:  # it is answered while this process still is
             job.budget = min(job.budget, max(self._ending.answer_by - arrived, 0.02))
         self._carry_out(self._facade.pick(arrived, job))
         if self._ending is not None and job.long:  # its time starts with its last byte, and ends no later
             self._facade.finish(self._ending.answer_by)
-            self._timer.lower()
+            self._executor.timer.lower()
 
     def uploaded(self, job_id: str) -> None:
         self._facade.uploaded(time.monotonic(), job_id)
-        self._timer.reset()
+        self._executor.timer.reset()
 
     def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
         wait = self._facade.turn_away(arrived, job_class, budget)
@@ -156,7 +157,7 @@
         return wait
 
     def left(self, job_id: str) -> None:
-        self._waiting.pop(job_id, None)
+        self._executor.forget(job_id)
         self._carry_out(self._facade.left(time.monotonic(), job_id))
 
     def joined(self, session: Session) -> None:
@@ -197,69 +198,10 @@
             found.abort()
             self.gone(found)
 
-    # --- what the facade orders -----------------------------------------------------------------------
-
-    def _carry_out(self, orders: Orders, reply: Reply | None = None) -> None:
-        """``reply`` is the one that a served answer among the orders passes on. An order that raises costs
-        what it is for, and none of the others."""
-        attempt = self._supervisor.attempt
-        for note in orders.notes:
-            self._counters.log(note)
-        for job, number in orders.given_up:
-            attempt("giving up an attempt", self._pool.give_up, job, number)
-        for claim in orders.claims:
-            self._start(claim)
-        for answer in orders.answers:
-            self._answer(answer, reply)
-        for node in orders.probes:
-            self._supervisor.spawn("probe", self._probe, node)
-        for node in orders.close_idle:
-            attempt("closing idle connections", self._pool.close_idle, node)
-        if orders.warm:
-            attempt("opening connections ahead", self._pool.listed, orders.warm)
-        if orders.watch:
-            self._supervisor.keep_running("watch", self._discovery.watch)
-        if orders.fetch:
-            self._supervisor.keep_running("fetch", self._discovery.fetch)
-        self._timer.lower()
-
-    def _start(self, claim: Claim) -> None:
-        """Begin an attempt. One that cannot be begun may have been written in part: it counts as broken."""
-        waiting = self._waiting.get(claim.job)
-        if waiting is None:
-            return
-        try:
-            self._pool.start(claim, waiting[1], self._claim_done)
-        except Exception as error:
-            self._supervisor.fault("an attempt", error)
-            self._supervisor.attempt("giving up an attempt", self._pool.give_up, claim.job, claim.number)
-            asyncio.get_running_loop().call_soon(self._claim_done, claim, Reply(Outcome.BROKEN))
-
-    def _answer(self, answer: Answer, reply: Reply | None) -> None:
-        """Pass a final answer on. A client that it cannot be written to is not left to wait for it."""
-        self._counters.add("jobs_" + answer.verdict.value)
-        waiting = self._waiting.pop(answer.job, None)
-        if waiting is None:
-            return
-        served = reply if answer.verdict is Verdict.SERVED else None
-        try:
-            waiting[0].answer(Final(answer.verdict, answer.retry_in, served))
-        except Exception as error:
-            self._supervisor.fault("an answer", error)
-            self._supervisor.attempt("closing a connection", waiting[0].abort)
-
-    def _claim_done(self, claim: Claim, reply: Reply) -> None:
-        now = time.monotonic()
-        self._carry_out(self._facade.report(now, claim, reply.outcome, reply.load), reply)
+    # --- what the facade orders, and is told ----------------------------------------------------------
 
-    async def _probe(self, node: str) -> None:
-        began = time.monotonic()
-        outcome, load = Outcome.BROKEN, None
-        try:
-            outcome, load = await self._pool.probe(node)
-        finally:
-            now = time.monotonic()
-            self._carry_out(self._facade.probed(now, node, outcome, now - began, load))
+    def _carry_out(self, orders: Orders) -> None:
+        self._executor.execute(orders)
 
     def _use_known(self) -> None:
         """Take in the list as last had, and what the process before had learnt of its nodes; once."""
@@ -279,9 +221,6 @@
 
     # --- tasks ----------------------------------------------------------------------------------------
 
-    def _run_due(self) -> None:
-        self._carry_out(self._facade.tick(time.monotonic()))
-
     def _beat(self, due: float) -> None:
         """Measure how late the loop runs, which is what every job waits for it, and tell."""
         now = time.monotonic()
@@ -424,7 +363,7 @@
         accept = 0.0 if shared else _ACCEPT_ON + _LAST_ACCEPTS
         times = self._ending = ShutdownTimes.plan(time.monotonic(), longest, accept, _HALF_READ)
         attempt("shutdown", self._facade.finish, times.answer_by)
-        self._timer.reset()
+        self._executor.timer.reset()
         if not shared:
             await asyncio.sleep(_ACCEPT_ON)
         self.closing, self._accepting = True, False
@@ -442,11 +381,7 @@
         return self._anything_owed()
 
     def answer_all(self) -> None:
-        """Give every open request its final answer: what the facade has due, and, should a fault have kept
-        any from that, a plain failure."""
-        self._supervisor.attempt("the last answers", self._run_due)
-        for job_id in list(self._waiting):
-            self._answer(Answer(job_id, Verdict.FAILED), None)
+        self._executor.answer_all()
 
     # --- counters and the audit -----------------------------------------------------------------------
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -109,7 +109,7 @@
         return self.worst
 
 
-def play_early_kill(tmp: Path, deadline: float) -> tuple[bool, list[object]]:
+def play_early_kill(tmp: Path, deadline: float, listener: socket.socket | None) -> tuple[bool, list[object]]:
     """One shutdown under load. Whether the machine kept step, and what was wrong."""
     stop = threading.Event()
 
@@ -118,7 +118,7 @@
             stop.wait(WAIT)
         return echo(message)
 
-    with running(tmp, echo, slow, settings=deadlines(deadline)) as (program, nodes, _):
+    with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, nodes, _):
         shapes = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
         clients = [Client(program, *shape) for shape in shapes]
         until(lambda: all(client.answers >= 3 for client in clients))
@@ -147,12 +147,16 @@
     return worst < STARVED_S, wrong
 
 
+@pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize("deadline", [0.2, 0.5, 1.0])
-def test_all_that_was_read_is_answered_before_an_early_sigkill(tmp_path: Path, deadline: float) -> None:
+def test_all_that_was_read_is_answered_before_an_early_sigkill(
+    tmp_path: Path, deadline: float, shared: bool
+) -> None:
     """Clients go on sending on open connections until SIGKILL, at the first moment it may come. Found by
     reading: with short deadlines a request taken in the last moment lost its answer."""
     for _ in range(PLAYS):
-        sound, wrong = play_early_kill(tmp_path, deadline)
+        with socket.create_server(("127.0.0.1", 0)) as listener:  # the platform's own, where it is shared
+            sound, wrong = play_early_kill(tmp_path, deadline, listener if shared else None)
         if sound:
             assert wrong == []
             return
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -213,6 +213,29 @@
     running.play(script)
 
 
+@pytest.mark.parametrize(("owner", "method", "told"), [(Pool, "start", 500), (Session, "answer", 0)])
+def test_order_that_raises_costs_its_request_alone(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, told: int
+) -> None:
+    """An attempt that cannot be begun counts as broken; a client that cannot be answered sees its connection
+    closed, and doesn't wait for ever."""
+    running = Running(tmp_path)
+    Fault(monkeypatch, owner, method, 1)
+
+    def ask() -> int:
+        try:
+            return running.ask(job("pay", b"1"))
+        except ConnectionError:
+            return 0
+
+    async def script() -> None:
+        assert await asyncio.to_thread(ask) == told
+        await running.serves()
+
+    running.play(script)
+    assert running.counters["task_faults"] == 1
+
+
 @pytest.mark.parametrize(
     ("owner", "method"),
     [(sidecar, "reload_config"), (Facade, "reconfigure"), (Pool, "reconfigure")],
