--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -135,6 +135,37 @@
     assert found.failed[0] - found.calls[1] >= BOUND  # where it has too many callers, the second may wait
 
 
+@pytest.mark.parametrize("call", ["watch", "fetch"])
+def test_call_that_ends_of_an_unforeseen_exception_is_told_once(
+    monkeypatch: pytest.MonkeyPatch, call: str
+) -> None:
+    """Found by reading: nobody was told, and no list was asked for any more."""
+
+    async def broken(*_: object) -> None:
+        raise ZeroDivisionError
+
+    found = Watched(monkeypatch)
+    monkeypatch.setattr(found.discovery, "_call", broken)
+    found.loop.run_until_complete(getattr(found.discovery, call)())
+    found.loop.close()
+    assert found.failed == [0.0]
+
+
+def test_list_that_could_not_be_taken_in_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Found by reading: its version counted as had, and what it brought was never told again."""
+    found = Watched(monkeypatch, beats(2.0, 20), beats(2.0, 20), pushed=True)
+    asked: list[int] = []
+
+    def listed(news: MachineList) -> None:
+        asked.append(found.discovery.version)
+        if len(asked) == 1:
+            raise ZeroDivisionError
+
+    monkeypatch.setattr(found.discovery, "_listed", listed)
+    found.run(3.0)
+    assert asked == [0, 0] and found.discovery.version == 1
+
+
 @pytest.mark.parametrize("pushed", [False, True])
 def test_watch_that_is_reset_is_told_or_opened_at_once(monkeypatch: pytest.MonkeyPatch, pushed: bool) -> None:
     """What an agent that pushes has counts as told without a watch, too; discovery that is asked has many
