--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -171,12 +171,14 @@
         nodes,
         _,
     ):
-        assert program.call("PUT", "cordon", "s-0") == 200 == program.call("PUT", "cordon", "s-0")
+        assert program.call("PUT", "cordon", "s-0") == 503 == program.call("PUT", "cordon", "s-0")
         had = len(nodes[0].got)
         for _ in range(10):
             assert program.ask(job())[0] == 200
         assert len(nodes[0].got) == had and program.counters()["handovers_unwritten"] >= 2
         assert program.log.read_text().count("nothing can be left") == 1
+        (tmp_path / "none").mkdir()  # it is tried on until it is stored
+        until(lambda: program.call("PUT", "cordon", "s-0") == 200)
 
 
 # --- settings by SIGHUP -----------------------------------------------------------------------------------
