--- a/indigokeel/decision/balancer.py
+++ b/indigokeel/decision/balancer.py
@@ -579,6 +579,7 @@
         if not attempt.out:
             return
         attempt.out = False
+        attempt.begun = event.ending is not api.Ending.NEVER_SENT
         attempt.may_have_run = not event.ending.never_ran
         upstream = attempt.upstream
         upstream.open -= 1
@@ -704,7 +705,7 @@
 
     def _worth_trying(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed and can still earn something."""
-        if len(request.attempts) >= request.most or not self._may_repeat(now, request):
+        if request.spent() or not self._may_repeat(now, request):
             return False
         return now + 0.5 * request.stats.expected(request.hint) < request.latest
 
@@ -854,5 +855,5 @@
         upstream.probing = False
         if event.ending is api.Ending.OK:
             self._take_report(now, upstream, event.load)
-        elif event.ending is not api.Ending.REFUSED:
+        elif event.ending not in (api.Ending.REFUSED, api.Ending.NEVER_SENT):
             self._failed(now, upstream)
--- a/indigokeel/decision/records.py
+++ b/indigokeel/decision/records.py
@@ -82,17 +82,22 @@
         return math.exp(self.health_sum.value(now) / (weight + HEALTH_PRIOR)) if weight else 1.0
 
 
+NEVER_BEGUN = 5  # attempts that never began, beyond the limit on attempts: each has waited for its patience
+
+
 class Attempt:
     """One attempt that has been sent."""
 
-    __slots__ = ("called_off", "copy", "expected", "may_have_run", "out", "overdue", "sent", "upstream")
+    __slots__ = (
+        "begun", "called_off", "copy", "expected", "may_have_run", "out", "overdue", "sent", "upstream",
+    )  # fmt: skip
 
     def __init__(self, upstream: Upstream, sent: float, expected: float) -> None:
         self.upstream, self.sent, self.expected = upstream, sent, expected
         self.out, self.overdue = True, False
         self.called_off = False
         self.copy = False  # sent while another was out
-        self.may_have_run = True  # until its outcome proves otherwise
+        self.begun = self.may_have_run = True  # until its outcome proves otherwise
 
 
 class Request:
@@ -116,6 +121,11 @@
         self.attempts: list[Attempt] = []
         self.done = False
 
+    def spent(self) -> bool:
+        """Whether it has had all its attempts. One that never began is none, but for a bound on those."""
+        begun = sum(attempt.begun for attempt in self.attempts)
+        return begun >= self.most or len(self.attempts) >= self.most + NEVER_BEGUN
+
     def out(self) -> int:
         return sum(attempt.out for attempt in self.attempts)
 
--- a/indigokeel/facade.py
+++ b/indigokeel/facade.py
@@ -34,6 +34,8 @@
 # never ends.
 _MOST_EVENTS = 1000
 _MOST_EACH = 8
+_WAITED_LEAST_S = 0.01  # behind others, from which a request's own lack of time is no word on any upstream
+_NEVER_BEGUN_MOST = 5  # attempts that never began, beyond a request's limit on attempts
 
 
 class _OpenClaim:
@@ -47,7 +49,7 @@
 
 class _OpenJob:
     __slots__ = (
-        "answer_by", "claims", "closed", "entries", "id", "long", "most", "out", "over",
+        "answer_by", "claims", "closed", "cut_short", "entries", "id", "long", "most", "out", "over",
         "repeat_window", "time",
     )  # fmt: skip
 
@@ -57,6 +59,7 @@
         self.id, self.answer_by, self.repeat_window = job_id, answer_by, repeat_window
         self.most = most  # claims at most
         self.time, self.long = time, long  # s until the last word on it; whether its body is long
+        self.cut_short = False  # waited behind others, so that its lack of time is nobody's lateness
         self.claims: list[_OpenClaim] = []
         self.out = 0  # claims without an ending
         self.over = self.closed = False
@@ -161,6 +164,7 @@
         answer_by = math.inf if job.long else now + left
         window, most = self._windows.get(job.job_class, math.inf), self._limits.max_attempts
         opened = self._jobs[job.id] = _OpenJob(job.id, answer_by, window, most, left, job.long)
+        opened.cut_short = job.waited > _WAITED_LEAST_S
         self.owed += 1
         if not job.long:
             self._enter(answer_by, partial(self._expire, opened), opened)
@@ -216,7 +220,11 @@
             _, _, call, job = heapq.heappop(self._agenda)
             if job is not None:
                 job.entries -= 1
-            call(now, orders)
+            try:
+                call(now, orders)
+            except Exception as error:  # costs this entry, and none of the orders of the others
+                self.faults += 1
+                orders.notes.append(f"fault in the agenda: {type(error).__name__}: {error}")
         return orders
 
     def probed(
@@ -398,8 +406,11 @@
             self._over(job)
             orders.answers.append(Answer(job.id, Verdict.SERVED, claim=number))
         figures = api.Load(**load) if load else None
+        ending = outcome.ending
+        if outcome is Outcome.TIMED_OUT and job.cut_short and now >= job.answer_by:
+            ending = api.Ending.CANCELLED  # given up for its client's sake: the upstream was not late
         event = api.AttemptEnded(
-            job.id, claim.node, number, outcome.ending, max(now - claim.sent, 0.0), job.over, figures
+            job.id, claim.node, number, ending, max(now - claim.sent, 0.0), job.over, figures
         )
         self._feed(now, event, orders, job)
 
@@ -490,7 +501,9 @@
         anchor = next((claim.sent for claim in job.claims if claim.may_have_run), math.inf)
         opened = _OpenClaim(send.upstream, now, anchor + job.repeat_window)
         job.claims.append(opened)
-        moot = job.over or now >= job.answer_by or number >= job.most
+        never_begun = sum(claim.ended and not claim.begun for claim in job.claims[:number])
+        begun = number - min(never_begun, _NEVER_BEGUN_MOST)
+        moot = job.over or now >= job.answer_by or begun >= job.most
         if moot or self.address(send.upstream) is None:
             opened.ended, opened.may_have_run = True, False
             events.append(
--- a/indigokeel/net/management.py
+++ b/indigokeel/net/management.py
@@ -55,7 +55,12 @@
     async def listen(self, address: tuple[str, int]) -> None:
         """Begin to listen; raises OSError where the address cannot be had."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Call(self), sock=http.bind(address), backlog=128)
+        listener = http.bind(address)
+        try:
+            self._server = await loop.create_server(lambda: Call(self), sock=listener, backlog=128)
+        except OSError:
+            listener.close()
+            raise
 
     def joined(self, call: Call) -> None:
         self.calls[call] = None
--- a/indigokeel/net/state_persistence.py
+++ b/indigokeel/net/state_persistence.py
@@ -22,7 +22,7 @@
 
 from indigokeel import handover
 from indigokeel.facade import Facade
-from indigokeel.handover import Handover, HandoverError, Learned, Moment
+from indigokeel.handover import Handover, Learned, Moment
 from indigokeel.machine_list import MachineList
 from indigokeel.net import clocks
 from indigokeel.net.counters import Counters
@@ -116,13 +116,13 @@
         for name in names:
             try:
                 state = self._files.read(name, self._moment())
-            except HandoverError as error:
-                self._tell_unread(name, error)
-                continue
             except OSError as error:
                 self._tell_unread(name, error)
                 unreadable.add(name)
                 continue
+            except Exception as error:  # HandoverError, or a fault of the codec: costs this file alone
+                self._tell_unread(name, error)
+                continue
             if state is not None:
                 found.append(state)
                 self._execute(self._facade.merge(time.monotonic(), state.marks))
@@ -167,7 +167,10 @@
         """Merge what others write and write the own state, until cancelled."""
         while True:
             await asyncio.sleep(_POLL_INTERVAL_S)
-            self._merge_unread()
+            try:
+                self._merge_unread()
+            except Exception as error:  # the own state is written whatever others left
+                self._tell_unread("", error)
             if time.monotonic() - self._written_at > _WRITE_INTERVAL_S:
                 self.persist(closing())
                 if not self._write_failed and not self._owed():  # else others' files may be the only ones
--- a/indigokeel/net/submitters.py
+++ b/indigokeel/net/submitters.py
@@ -431,7 +431,7 @@
         else:
             self._counters.add("jobs_taken")
             self._flow.took()
-            self.job_id, job.budget = job.id, left
+            self.job_id, job.budget, job.waited = job.id, left, now - arrived
             self._desk.take(self, now, job, task)
 
     def answer(self, final: Final) -> None:
--- a/indigokeel/orders.py
+++ b/indigokeel/orders.py
@@ -47,6 +47,7 @@
     hint: float = 0.0
     repeat: bool = False
     write: bool = False
+    waited: float = 0.0  # s of its client's time that had gone by behind others on its connection
     long: bool = False  # its body still comes: its time starts with ``uploaded``
 
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -736,3 +736,16 @@
     assert driver.balancer.turn_away(driver.now, "pay", 0.4) == 0.1
     assert driver.balancer.turn_away(driver.now, "pay", 1.4) is None
     assert driver.balancer.turn_away(driver.now, "nobody's", 0.1) is None
+
+
+def test_probe_that_this_machine_could_not_send_blames_nobody() -> None:
+    driver = Driver(PROBED, named("a", "b", "c"))
+    for _ in range(40):
+        driver.now += 0.2
+        _, actions = driver.request()
+        for probe in of(actions, api.Probe):
+            ended = api.ProbeEnded(probe.upstream, api.Ending.NEVER_SENT, 0.001, None)
+            assert not of(driver.balancer.handle(driver.now, ended), api.Log)
+            assert driver.balancer.known()[1][probe.upstream].failures == 0
+        (send,) = sends(actions)
+        driver.end(send)
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -195,3 +195,50 @@
     upstreams = facade._balancer.known()[1].values()
     assert sum(upstream.open for upstream in upstreams) == count
     assert sum(upstream.overdue for upstream in upstreams) == 0
+
+
+@pytest.mark.parametrize(("waited", "sheds"), [(0.0, True), (0.2, False)])
+def test_request_that_lost_its_time_behind_others_is_no_lateness_of_an_upstream(
+    waited: float, sheds: bool
+) -> None:
+    """Requests that come to their turn with too little time left are given up; two idle upstreams were taken
+    for overloaded, and the requests of everyone were shed."""
+    facade, notes = start(), []
+    for number in range(60):
+        now = 100.0 + 0.1 * number
+        orders = facade.pick(now, Job(f"j{number}", "view", 0.06, waited=waited))
+        assert all(facade.begin(now, claim) for claim in orders.claims)
+        notes += orders.notes
+        while facade.due() < now + 0.09:
+            notes += facade.tick(facade.due()).notes
+        assert facade.owed == 0
+    assert ("shedding load" in notes) == sheds
+
+
+def test_fault_in_one_entry_of_the_agenda_costs_that_entry_alone() -> None:
+    facade = start(limits=api.Limits(max_attempts=1))
+    take(facade, id="before", budget=1.0)
+    take(facade, id="after", budget=1.2)
+
+    def fail(now: float, orders: Orders) -> None:
+        raise RuntimeError("unforeseen")
+
+    facade._enter(101.0, fail)
+    orders = facade.tick(102.0)
+    assert [answer.job for answer in orders.answers] == ["before", "after"]
+    assert facade.faults == 1 and any("unforeseen" in note for note in orders.notes)
+
+
+def test_attempts_that_never_began_do_not_count_but_for_a_bound() -> None:
+    """This machine had no port for a moment: one attempt was allowed, and the request was refused at once."""
+    facade = start(limits=api.Limits(max_attempts=1))
+    facade.listed(100.0, MachineList(1, True, tuple(replace(NODES[0], name=f"s-{i}") for i in range(9))))
+    claim, _ = take(facade)
+    attempts = 1
+    while again := facade.report(100.0, claim, Outcome.MOOT).claims:
+        claim, attempts = again[0], attempts + 1
+    assert attempts == 6 and facade.owed == 0
+    claim, _ = take(facade, id="k")
+    (claim,) = facade.report(100.0, claim, Outcome.MOOT).claims
+    assert facade.begin(100.0, claim)
+    assert not facade.report(100.1, claim, Outcome.TURNED_AWAY).claims  # the one that is allowed
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -251,3 +251,25 @@
         old.process.send_signal(signal.SIGTERM)
         assert old.process.wait(WAIT) == 0
         assert _sent_to(upstreams[0], start()) == 0  # by the file that waits for no disk
+
+
+def test_state_is_written_though_what_others_left_cannot_be_merged(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    files = HandoverFiles(str(tmp_path), "n0")
+    facade = Facade(make_settings(), 1, 0.0)
+    state = StatePersistence(files, facade, Counters("n0"), lambda orders: None, lambda: 1)
+
+    def fail(now: float) -> list[str]:
+        raise RuntimeError("unforeseen")
+
+    monkeypatch.setattr(files, "fresh", fail)
+
+    async def play() -> None:
+        task = asyncio.create_task(state.synchronise(lambda: False))
+        while not list(tmp_path.iterdir()):
+            assert not task.done()
+            await asyncio.sleep(0.01)
+        task.cancel()
+
+    asyncio.run(play())
