--- a/indigokeel/decision/balancer.py
+++ b/indigokeel/decision/balancer.py
@@ -3,9 +3,6 @@
 One Balancer serves one sidecar. It knows the events it was handed and nothing else: it reads no clock,
 draws from its own generator, and does no input or output. The ordinary path of a request is that of
 docs/design.md: average the load reports, strike out busy upstreams, spin a roulette wheel over the rest.
-
-Order of the parts: settings, Balancer (membership, reports, wheel, quarantine, slow start, requests,
-further attempts, connections, probes, discovery).
 """
 
 from __future__ import annotations
@@ -13,13 +10,13 @@
 import math
 from bisect import bisect_left
 from collections import OrderedDict
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from itertools import islice
 from random import Random
 from weakref import WeakValueDictionary
 
 from indigokeel.decision import interface as api
-from indigokeel.decision import records
+from indigokeel.decision import records, slow_start
 from indigokeel.decision.records import Attempt, ClassStats, Request, TenantStats, Upstream
 from indigokeel.structures.choice import by_chance, by_key, van_der_corput
 from indigokeel.structures.sums import Counts, Decaying, Estimate, hash64, mix, trim
@@ -53,7 +50,7 @@
 RETRY_SHARE = 0.2  # further attempts for each timely answer
 RETRY_BURST = 3.0  # and this many saved up
 COPY_SHARE = 0.03  # second copies for each timely answer, besides those that pay for themselves
-COLD_CAP = 0.4  # of safety.tip_multiple: the rest is left to other sidecars' chance and to bursts
+COLD_KEY_SPREAD = 4  # cold upstreams that a key is spread over: a hot key fills none of them
 PROBE_FIRST = 8.0  # probes that a start may spend at once on learning the fleet, one a request
 PROBE_SHARE = 0.25  # probes for each request, where reports come by probe only ...
 PROBE_COST = 0.002  # ... or fewer, where their price would take more than this of the whole
@@ -61,6 +58,8 @@
 ROOM_LEAST = 2.0  # requests that it may hold however little that is ...
 REFRESH = 0.25  # s that a look at an upstream holds while there is no news of it
 RATE_TAU = 5.0  # s over which the own request rate is averaged
+LOAD_KEPT = 0.95  # of the load that was asked for, with each look at the upstreams in use
+FEW = 1.0  # a second, added to requests and answers before they are compared: no verdict on next to none
 LATE_TAU = 1.0  # s over which late and timely answers are counted
 SHED_LATE = 0.2  # requests are shed while there are more than so many late answers for a timely one
 SHED_LEAST = 2.0  # ... and these
@@ -140,6 +139,9 @@
         self._subset_now: list[Upstream] = []
         self._subset_until = -math.inf
         self._wheel: Wheel[Upstream] = Wheel(self._look, BUSY)  # over the subset, where that is large
+        self._load: float | None = None  # how busy the upstreams are by full capacity; None: not known
+        self._share = 1.0  # of the fleet's traffic, that passes through this sidecar
+        self._full_size, self._warm = 1.0, 0
         self._asked = False
         self._watch_delay = WATCH_FIRST
         self._actions: list[api.Action] = []
@@ -159,6 +161,8 @@
         tenants that stay, what was learnt."""
         check(settings)
         self._settings = settings
+        limits = settings.limits
+        self._refusal_wait = min(limits.max_retry_after, REFUSAL_WAIT) if limits.retry_after else 0.0
         self._idle_kept = IDLE_KEPT if settings.prices.connection > 0.0 else IDLE_KEPT_FREE
         self._lag_most = LAG_MOST * min(cls.aim for cls in settings.classes)
         self._classes = {cls.name: cls for cls in settings.classes}
@@ -201,7 +205,7 @@
             for known in [name for name in self._upstreams if name not in listed]:
                 del self._upstreams[known]
         for member in event.members:
-            self._apply(member)
+            self._apply(now, member)
         self._index()
         if event.news is not api.News.CACHED:
             self._watch_delay = WATCH_FIRST
@@ -211,7 +215,7 @@
         for request in list(self._held.values()):
             self._advance(now, request)
 
-    def _apply(self, member: api.Member) -> None:
+    def _apply(self, now: float, member: api.Member) -> None:
         if member.state is api.State.GONE:
             self._upstreams.pop(member.id, None)
             return
@@ -219,7 +223,7 @@
         if known is None or known.member.started != member.started:
             # New, or restarted: all that was known of it is void.
             known = self._upstreams[member.id] = Upstream(member, self._group(member))
-        known.member = member
+        known.member, known.ramp = member, slow_start.ramp(self._settings.safety, member.started, now)
         known.scale = max(member.scale, 1e-6) if self._settings.scale_is_size else 1.0
 
     def _group(self, member: api.Member) -> Estimate:
@@ -274,10 +278,9 @@
     def _size(self, upstream: Upstream) -> float:
         """The capacity of an upstream, in a unit of this sidecar's own.
 
-        Guards against the slow upstream whose low rate looks like room: what it serves is judged
-        against how busy that made it. It is drawn to what others of its kind in its cell show, for one
-        sidecar sees few reports, and servers of a cell can share a limit. Kind and cell are labels that
-        are compared for equality, nothing more."""
+        Guards against the slow upstream whose low rate looks like room: what it serves is judged against how
+        busy that made it. It is drawn to what others of its kind in its cell (labels, nothing more) show, for
+        one sidecar sees few reports, and servers of a cell can share a limit."""
         return upstream.scale * math.exp(upstream.capacity.value() - self._capacity.value())
 
     # --- the wheel ------------------------------------------------------------------------------
@@ -291,6 +294,7 @@
             self._ring = sorted(self._subset_now, key=lambda u: u.salt)
             self._salts = [u.salt for u in self._ring]
             self._subset_until = now + REFRESH
+            self._measure_load(now, self._subset_now or self._ranked)
             self._wheel.fill(now, self._subset_now if len(self._subset_now) > WHEEL_FROM else ())
         return self._subset_now
 
@@ -312,7 +316,7 @@
             if not free:
                 return None
             drawn = self._draw(now) if not warm and len(self._wheel) else self._spin(now, free, warm)
-            if self._has_room(now, drawn, request):
+            if drawn is None or self._has_room(now, drawn, request):
                 return drawn
             free = [u for u in free if u.ramp >= 1.0 and self._has_room(now, u, request)]
             return self._spin(now, free, warm) if free else None
@@ -328,7 +332,7 @@
                 upstream not in tried
                 and self._same_group(request, upstream.member)
                 and upstream.jailed_until <= now
-                and self._ramp(now, upstream) >= 1.0
+                and slow_start.ramp(self._settings.safety, upstream.member.started, now) >= 1.0
                 and self._has_room(now, upstream, request)
             )
 
@@ -343,7 +347,7 @@
         most = ROOM * (request.latest - now) / request.stats.latency
         return now - upstream.told > records.WINDOW or upstream.others + upstream.open < max(most, ROOM_LEAST)
 
-    def _draw(self, now: float) -> Upstream:
+    def _draw(self, now: float) -> Upstream | None:
         """Spin the wheel over a large subset without laying it out: draw a survivor at random and take it
         with a chance of its slice over the largest that a slice can be, else draw again. The odds are those
         of the whole wheel (von Neumann's rejection), by what was last seen of each."""
@@ -354,12 +358,12 @@
         sides = (left, struck) if fallback else (left,)
         mean = 0.0 if fallback else left.rate()
         number = sum(len(side.members) for side in sides)
-        held = sum(side.open for side in sides) / max(sum(side.views() for side in sides), 1e-9) + 1.0
+        views = max(sum(side.views() for side in sides), 1e-9)
+        held = sum(side.open for side in sides) / views + 1.0
         unit = mean if mean > 0.0 else 1.0
 
         def drawn() -> Upstream:
-            at = int(random.random() * number)
-            first = left.members
+            at, first = int(random.random() * number), left.members
             return first[at] if at < len(first) else struck.members[at - len(first)]
 
         def part(upstream: Upstream) -> float:
@@ -379,15 +383,21 @@
             over = upstream.open / (held * upstream.view * LEAN_FROM)
             if over > 1.0:
                 mine *= over**-LEAN
-            if upstream.ramp < 1.0:  # against the even slice of some warm ones, drawn likewise
+            if upstream.ramp < 1.0 and self._warm:  # against the even slice of some warm ones, drawn likewise
                 warm = [part(u) for u in (drawn() for _ in range(SAMPLE)) if u.ramp >= 1.0]
                 if warm:
-                    mine = min(mine, upstream.ramp * sum(warm) / len(warm) * self._cold_part())
-            if random.random() * wheel.most < mine * unit:
+                    even = (
+                        sum(warm) / len(warm) * slow_start.slice_part(self._settings.safety, self._surplus())
+                    )
+                    mine = min(mine, upstream.ramp * even)
+            if random.random() * wheel.most >= mine * unit:
+                continue
+            if self._warm or not self._spares(now, upstream, mine * (2.0 * mean or 1.0) / views):
                 return upstream
+            return None  # what all are spared goes nowhere
         return self._spin(now, self._subset_now, 0)
 
-    def _spin(self, now: float, candidates: list[Upstream], key: int) -> Upstream:
+    def _spin(self, now: float, candidates: list[Upstream], key: int) -> Upstream | None:
         survivors, total, known = [], 0.0, 0
         for upstream in candidates:
             if now >= upstream.fresh_until:
@@ -398,10 +408,11 @@
                     total += upstream.rate / upstream.size
                     known += 1
         # Only warm upstreams are counted: a cold one has not reported yet and survives, which shows no room.
-        # Guards against a cold one that is left to take what the warm ones are struck out for.
+        # Guards against a cold one that is left to take what the others are struck out for.
         warm = len([u for u in candidates if u.ramp >= 1.0])
         warm_left = warm if len(survivors) == len(candidates) else sum(u.ramp >= 1.0 for u in survivors)
-        fallback = not survivors or warm_left < warm * (1.0 - LOW_LOAD_RATIO)
+        least = (warm or len(candidates)) * (1.0 - LOW_LOAD_RATIO)
+        fallback = not survivors or (warm_left if warm else len(survivors)) < least
         if fallback or total <= 0.0:  # at random; only size, ramp and own trouble count
             chosen = candidates if fallback else survivors
             slices = [u.view for u in chosen]
@@ -410,14 +421,16 @@
             slices = [u.view / ((u.rate / u.size if u.rate >= 0.0 else mean) + mean) for u in survivors]
         self._lean(chosen, slices)
         if warm < len(candidates):
-            self._cap_cold(chosen, slices)
+            return self._spin_cold(now, dict(zip(chosen, slices, strict=True)), key)
+        return self._turn(chosen, slices, key)
+
+    def _turn(self, chosen: list[Upstream], slices: Iterable[float], key: int) -> Upstream:
         return by_key(chosen, slices, key) if key else by_chance(chosen, slices, self._random.random())
 
     def _lean(self, chosen: list[Upstream], slices: list[float]) -> None:
-        """Lean away from upstreams that hold far more of the own attempts than their part. Guards against
-        the crowd: reports are up to half a second old and averaged over more, and until they tell of a
-        queue, every pick by an old report makes it longer. Within LEAN_FROM nothing leans, for that would
-        move keys off the upstreams that have them warm."""
+        """Lean away from upstreams that hold far more of the own attempts than their part. Guards against the
+        crowd: until reports, which are old and averaged, tell of a queue, every pick makes it longer. Within
+        LEAN_FROM nothing leans, for that would move keys off the upstreams that have them warm."""
         mean = sum([u.open for u in chosen]) / sum([u.view for u in chosen]) + 1.0
         for i, upstream in enumerate(chosen):
             if upstream.open and (over := upstream.open / (mean * upstream.view * LEAN_FROM)) > 1.0:
@@ -427,7 +440,7 @@
         """Work out what the wheel needs of an upstream; good until news of it, or for a moment."""
         upstream.average(now)
         upstream.size = self._size(upstream)
-        upstream.ramp = self._ramp(now, upstream)
+        upstream.ramp = slow_start.ramp(self._settings.safety, upstream.member.started, now)
         upstream.view = upstream.size * upstream.ramp / upstream.slowness(now)
         if upstream.overdue:
             # Guards against the hang: it takes work and reports nothing, so only the age of own
@@ -445,30 +458,61 @@
 
     # --- slow start -----------------------------------------------------------------------------
 
-    def _ramp(self, now: float, upstream: Upstream) -> float:
-        """The part of its capacity that an upstream is sure to have, this long after its start."""
-        safety, started = self._settings.safety, upstream.member.started
-        age = now - started
-        if started <= 0.0 or age >= safety.warm_within:
-            return 1.0
-        return safety.cold_from + (1.0 - safety.cold_from) * max(age, 0.0) / safety.warm_within
-
-    def _cap_cold(self, chosen: list[Upstream], slices: list[float]) -> None:
-        """Guards a cold upstream against overload and against what others' trouble turns its way: at
-        most COLD_CAP of the rule's multiple of its ramped even share, less as attempts outnumber
-        answers, for then more is sent than the fleet can do."""
-        warm = [part for part, u in zip(slices, chosen, strict=True) if u.ramp >= 1.0]
-        if not warm or len(warm) == len(chosen):
-            return
-        even = sum(warm) / len(warm) * self._cold_part()
-        for i, upstream in enumerate(chosen):
-            if upstream.ramp < 1.0:
-                slices[i] = min(slices[i], upstream.ramp * even)
-
-    def _cold_part(self) -> float:
-        """Of an even slice, by its ramp, what a cold upstream may have at most."""
-        surplus = max(self._sends / max(self._served, 1.0), 1.0)
-        return min(COLD_CAP * self._settings.safety.tip_multiple / surplus, 1.5)
+    def _measure_load(self, now: float, used: list[Upstream]) -> None:
+        """How busy what is asked for would keep the upstreams in use were they warm, and which part of the
+        fleet's traffic passes through here. A load is forgotten slowly: after a start nobody reports it."""
+        self._warm = sum(u.ramp >= 1.0 for u in used)
+        mean_size = sum(u.size for u in used) / max(len(used), 1)  # in quarantine: counted as like the others
+        self._full_size = mean_size * min(max(len(used), SUBSET_LEAST), len(self._ranked))
+        rates = [u.rate / u.size for u in used if u.rate >= 0.0]
+        if rates and self._capacity.state()[0] > 0.0:
+            mean = sum(rates) / len(rates)
+            asked, answered = self._arrivals.value(now) / RATE_TAU, self._in_time.value(now) / LATE_TAU
+            load = mean / math.exp(self._capacity.value()) * max((asked + FEW) / (answered + FEW), 1.0)
+            self._load = max(load, (self._load or 0.0) * LOAD_KEPT)
+            fleet = mean * mean_size * len(self._ranked) + 1e-9
+            self._share = min(answered / fleet, 1.0) if self._settings.sidecars > 1 else 1.0
+
+    def _surplus(self) -> float:
+        """Attempts for each answer: with more, more is sent than the fleet can do."""
+        return max(self._sends / max(self._served, 1.0), 1.0)
+
+    def _spares(self, now: float, upstream: Upstream, part: float) -> bool:
+        """Whether this request is to spare a cold upstream that would get this part of the own ones."""
+        safety, surplus = self._settings.safety, self._surplus()
+        if self._load is not None:
+            capacity = upstream.ramp * upstream.scale * math.exp(upstream.capacity.value())
+            slot = (now - upstream.member.started) // (safety.overload_for / 2.0)
+            if slot != upstream.slot:
+                upstream.slot, upstream.slot_left = slot, slow_start.slot_quota(safety, capacity, self._share)
+            if upstream.slot_left <= 0:
+                return True
+        present = upstream.ramp * upstream.size / self._full_size
+        most = slow_start.traffic_part(safety, present, self._load, surplus)
+        if most < part and self._random.random() * part >= most:
+            return True
+        upstream.slot_left -= 1
+        return False
+
+    def _spin_cold(self, now: float, parts: dict[Upstream, float], key: int) -> Upstream | None:
+        """Spin where some are cold: chance alone decides whether it is a cold one that gets the request, not
+        the key, for all sidecars agree on a key. What it is spared goes to the warm ones, or nowhere."""
+        total = sum(parts.values())
+        warm = {u: part for u, part in parts.items() if u.ramp >= 1.0}
+        cold = {u: part for u, part in parts.items() if u.ramp < 1.0}
+        if warm:
+            even = (
+                sum(warm.values()) / len(warm) * slow_start.slice_part(self._settings.safety, self._surplus())
+            )
+            cold = {u: min(part, u.ramp * even) for u, part in cold.items()}
+            total = sum(warm.values()) + sum(cold.values())
+        if self._random.random() * total < sum(cold.values()):
+            among = mix(key, self._random.randrange(COLD_KEY_SPREAD) + 1) if key else 0
+            upstream = self._turn(list(cold), cold.values(), among)
+            seen = len(parts) / max(len(self._subset_now), len(parts))  # a key sees a part of the subset
+            if warm or not self._spares(now, upstream, cold[upstream] / total * seen):
+                return upstream
+        return self._turn(list(warm), warm.values(), key) if warm else None
 
     # --- quarantine -----------------------------------------------------------------------------
 
@@ -656,8 +700,7 @@
             self._forget(request)
 
     def _forget(self, request: Request) -> None:
-        """A finished request stays known until its last attempt has told how it ended. What is still out
-        for it is called off: guards against work whose answer nobody waits for."""
+        """A finished request stays known until its last attempt ends; what is still out is called off."""
         self._held.pop(request.id, None)
         if request.done and not request.started and self._settings.limits.cancelling:
             for number, attempt in enumerate(request.attempts):
@@ -671,13 +714,10 @@
         """Give the one final answer: a refusal where that is true and allowed, else a failure."""
         if request.done:
             return
-        cls, limits = request.cls, self._settings.limits
-        harmless = cls.effect is api.Effect.SAFE or (
-            cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
-        )
-        if harmless or request.anchor() is None:
-            wait = min(limits.max_retry_after, REFUSAL_WAIT) if limits.retry_after else 0.0
-            self._actions.append(api.Refuse(request.id, wait))
+        cls = request.cls
+        all_drop_it = cls.effect is api.Effect.KEYED and cls.group is api.Group.ALL
+        if cls.effect is api.Effect.SAFE or all_drop_it or request.anchor() is None:
+            self._actions.append(api.Refuse(request.id, self._refusal_wait))
         else:
             self._actions.append(api.Fail(request.id))
         request.done = True
@@ -690,18 +730,16 @@
         anchor = request.anchor()
         if anchor is None or request.cls.effect is api.Effect.SAFE:
             return True
-        if request.cls.effect is api.Effect.UNSAFE:
-            return False
-        return at < anchor.sent + request.cls.repeat_window - MARGIN
+        in_window = at < anchor.sent + request.cls.repeat_window - MARGIN
+        return in_window and request.cls.effect is not api.Effect.UNSAFE
 
     def _same_group(self, request: Request, member: api.Member) -> bool:
         """Whether this upstream drops a repeat of what may have run."""
         anchor, cls = request.anchor(), request.cls
         if anchor is None or cls.effect is not api.Effect.KEYED or cls.group is api.Group.ALL:
             return True
-        if cls.group is api.Group.ZONE:
-            return member.zone == anchor.upstream.member.zone
-        return member.cell == anchor.upstream.member.cell
+        first = anchor.upstream.member
+        return member.zone == first.zone if cls.group is api.Group.ZONE else member.cell == first.cell
 
     def _worth_trying(self, now: float, request: Request) -> bool:
         """Whether another attempt is allowed and can still earn something."""
@@ -710,9 +748,8 @@
         return now + 0.5 * request.stats.expected(request.hint) < request.latest
 
     def _after_failure(self, now: float, request: Request, ending: api.Ending) -> None:
-        """No attempt is out and none was served. Further attempts are paid for from the retry budget: a
-        storm of them, on top of the clients' own, jams a fleet that could do its work. One that reached no
-        upstream took nothing from the fleet and costs nothing: guards against a list long out of date."""
+        """No attempt is out and none was served. The retry budget pays for further ones: a storm of them jams
+        the fleet. One that reached no upstream is free: guards against a list long out of date."""
         price = 0.0 if ending in (api.Ending.NO_CONNECTION, api.Ending.NEVER_SENT) else 1.0
         if request.started or self._retry_tokens < price or not self._worth_trying(now, request):
             self._end(request)
@@ -740,10 +777,9 @@
     # --- admission ------------------------------------------------------------------------------
 
     def _set_shedding(self, now: float) -> None:
-        """Load shedding: refuse at once what the fleet shows it cannot answer in time, least worth first.
-        What is admitted shrinks by a part while too many of the admitted are late, and grows by a step when
-        not. Only lateness counts: guards against shedding for answers that peers spoil, and against the
-        spiral in which the refused come again and count as load."""
+        """Load shedding: refuse at once what the fleet shows it cannot answer in time, least worth first:
+        more by a part while too many are late, less by a step when not. Only lateness counts: guards against
+        shedding for answers that peers spoil, and against the refused that come again and count as load."""
         self._shed_until = now + REFRESH
         if self._late.value(now) > SHED_LATE * self._in_time.value(now) + SHED_LEAST:
             self._admitted = max(self._admitted * SHED_STEP_DOWN, 1.0 - SHED_MOST)
@@ -758,9 +794,8 @@
 
     def _over_share(self, now: float, excess: float) -> list[tuple[TenantStats, float]]:
         """What part of each tenant's requests is to go for ``excess`` of all to go: first what a tenant asks
-        for beyond the others, each measured by its quota. Guards against the burst of one tenant, most of
-        it worth little, that has the others' requests refused. How large a part of the fleet's traffic
-        passes through this sidecar is not known, and cancels out."""
+        for beyond the others, each measured by its quota. Guards against the burst of one tenant, most of it
+        worth little, that has the others' requests refused. The own part of all traffic cancels out."""
         tenants = list(self._tenants.values())
         if self._settings.over_share_worth >= 1.0:
             return [(tenant, excess) for tenant in (*tenants, self._other)]
@@ -795,9 +830,8 @@
         for stats, part in self._apportion(now, 1.0 - self._let_in) if behind or self._let_in < 1.0 else ():
             stats.kept_out = part
         if behind != (self._let_in < 1.0):
-            self._actions.append(
-                api.Log("in step again" if behind else "behind with the work: fewer are let in")
-            )
+            text = "in step again" if behind else "behind with the work: fewer are let in"
+            self._actions.append(api.Log(text))
 
     def behind(self) -> bool:
         """Whether turn_away may turn anything away now."""
@@ -814,8 +848,7 @@
             return None
         self._shed_base.add(now, 1.0)
         stats.arrivals.add(now, 1.0)
-        limits = self._settings.limits
-        return min(limits.max_retry_after, REFUSAL_WAIT) if limits.retry_after else 0.0
+        return self._refusal_wait
 
     def _density(self, stats: ClassStats) -> float:
         """Worth for each unit of an upstream's time."""
@@ -842,7 +875,7 @@
         if self._probe_tokens < 1.0:
             return
         self._probe_tokens -= 1.0
-        pool = [u for u in self._subset(now) if not u.probing]
+        pool = [u for u in self._subset(now) if not u.probing and u.ramp >= 1.0]
         if pool:
             target = min(pool, key=lambda u: u.probed)
             target.probing, target.probed = True, now
--- a/indigokeel/decision/records.py
+++ b/indigokeel/decision/records.py
@@ -23,7 +23,8 @@
     __slots__ = (
         "answered", "capacity", "errors", "failures", "fresh_until", "health_sum", "health_weight",
         "jail_time", "jailed_until", "member", "open", "others", "overdue", "probed", "probing", "ramp",
-        "rate", "reports", "salt", "scale", "silent", "size", "told", "utilisation", "view", "wheel",
+        "rate", "reports", "salt", "scale", "silent", "size", "slot", "slot_left", "told", "utilisation",
+        "view", "wheel",
     )  # fmt: skip
 
     def __init__(self, member: Member, group: Estimate) -> None:
@@ -41,6 +42,7 @@
         self.answered = -math.inf  # when it last served
         self.fresh_until = -math.inf  # until then the next three need no new look
         self.size = self.ramp = self.view = 1.0
+        self.slot, self.slot_left = -math.inf, 0  # while cold: part of the time, what is left to send in it
         self.jailed_until = 0.0
         self.jail_time = QUARANTINE_FIRST
         self.silent = False  # it was put in quarantine for saying nothing, not for errors
@@ -60,8 +62,8 @@
     def report(self, now: float, rate: float, utilisation: float) -> None:
         self.reports.add(now, rate, utilisation)
         self.changed()
-        if utilisation > CAPACITY_MIN_UTIL and rate > 0.0:
-            self.capacity.add(math.log(rate / (utilisation * self.scale)))
+        if utilisation > CAPACITY_MIN_UTIL and rate > 0.0:  # while cold, what it would be once warm
+            self.capacity.add(math.log(rate / (utilisation * self.scale * self.ramp)))
 
     def average(self, now: float) -> None:
         """Let reports older than the window go and average the rest. One or two are noise, not an average:
@@ -94,8 +96,7 @@
 
     def __init__(self, upstream: Upstream, sent: float, expected: float) -> None:
         self.upstream, self.sent, self.expected = upstream, sent, expected
-        self.out, self.overdue = True, False
-        self.called_off = False
+        self.out, self.overdue, self.called_off = True, False, False
         self.copy = False  # sent while another was out
         self.begun = self.may_have_run = True  # until its outcome proves otherwise
 
