--- a/indigokeel/decision/balancer.py
+++ b/indigokeel/decision/balancer.py
@@ -71,6 +71,7 @@
 LAG_BEATS = 4.0  # that one late beat counts for at most
 LAG_TURNS = 2.0  # times its lag that a job spends waiting for the sidecar itself
 HELD_PART = 0.4  # of the time left, that a request is held for which there is no upstream
+WATCH_AGAIN = 0.1  # s before discovery is asked again after a watch that had told something, with jitter
 WATCH_FIRST = 0.5  # s before discovery is asked again after a failed call, with jitter ...
 WATCH_LONGEST = 0.4  # ... doubled up to this part of the time that it must be asked in ...
 WATCH_MOST = 2.9  # s; ... and this: 6 s after discovery can be reached again a change counts as told
@@ -208,7 +209,7 @@
             self._apply(now, member)
         self._index()
         if event.news is not api.News.CACHED:
-            self._watch_delay = WATCH_FIRST
+            self._watch_delay = WATCH_AGAIN
         if self._settings.ask_membership and not self._asked:
             self._asked = True
             self._actions.append(api.Subscribe())
@@ -264,7 +265,7 @@
             return
         delay = self._watch_delay * self._random.uniform(0.5, 1.0)
         longest = min(WATCH_LONGEST * self._settings.safety.ask_within, WATCH_MOST)
-        self._watch_delay = min(self._watch_delay * 2.0, longest)
+        self._watch_delay = min(max(self._watch_delay * 2.0, WATCH_FIRST), longest)
         self._timer(delay, lambda now: self._actions.append(api.Subscribe()))
 
     # --- reports --------------------------------------------------------------------------------
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -420,6 +420,16 @@
     assert sends(driver.request()[1]), "the list in hand stays"
 
 
+def test_discovery_is_asked_again_at_once_after_a_watch_that_had_told_something() -> None:
+    """Calls are handled in turn: half a second late in the queue, an answer came after its drain was due."""
+    for seed in range(20):
+        driver = Driver(make_settings(ask_membership=True), make_members(3), seed)
+        for _ in range(2):
+            driver.news(make_members(3))
+            waits = [of(driver.news((), api.News.FAILED), api.SetTimer)[0].delay for _ in range(3)]
+            assert waits[0] <= 0.1 < 0.25 <= waits[1] <= 0.5 <= waits[2] <= 1.0
+
+
 @pytest.mark.parametrize(("upstreams", "most"), [(20, 1), (40, 2), (60, 4)])
 def test_same_key_few_upstreams_over_all_sidecars(upstreams: int, most: int) -> None:
     """One for each place that subsets begin at: with a home at each sidecar a key is warm nowhere."""
