--- a/tests/faulty_program.py
+++ b/tests/faulty_program.py
@@ -13,33 +13,19 @@
 import json
 import os
 import stat
-import subprocess
 import sys
 import time
 from collections.abc import Callable
-from pathlib import Path
+from functools import partial
 from typing import Any
 
-from tests.peers import ROOT
+from tests import peers
 
 _STEP_S = float(os.environ.get("FAULT_WALL_STEP_S", "0"))
 
 
-def start(
-    config: Path, log: Any, listener: Any = None, module: str = "tests.faulty_program", **env: str
-) -> subprocess.Popen[bytes]:
-    """What ``peers.start`` does, with another module."""
-    command = [sys.executable, "-B", "-m", module]
-    if listener is not None:
-        command = ["/bin/bash", "-c", f'exec "$0" "$@" 7<&{listener.fileno()}', *command]
-        env["BALANCER_LISTEN_FD"] = "7"
-    return subprocess.Popen(
-        command,
-        cwd=ROOT,
-        env={"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(config), **env},
-        stderr=log,
-        pass_fds=[listener.fileno()] if listener else [],
-    )
+# Starts this module in place of the program, with the faults that its environment tells.
+start = partial(peers.start, module="tests.faulty_program")
 
 
 def _step_wall_clock(when: str) -> None:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -220,11 +220,15 @@
 
 
 def start(
-    config: Path, log: Any, listener: socket.socket | None = None, **env: str
+    config: Path,
+    log: Any,
+    listener: socket.socket | None = None,
+    module: str = "indigokeel",
+    **env: str,
 ) -> subprocess.Popen[bytes]:
-    """Start the program as ``run`` does. ``listener`` is handed on as descriptor 7, as the platform does it
-    with its own, whatever its number is here."""
-    command = [sys.executable, "-B", "-m", "indigokeel"]
+    """Start the program as ``run`` does, or another module in its place. ``listener`` is handed on as
+    descriptor 7, as the platform does it with its own, whatever its number is here."""
+    command = [sys.executable, "-B", "-m", module]
     if listener is not None:
         command = ["/bin/bash", "-c", f'exec "$0" "$@" 7<&{listener.fileno()}', *command]
         env["BALANCER_LISTEN_FD"] = "7"
