--- a/indigokeel/decision/balancer.py
+++ b/indigokeel/decision/balancer.py
@@ -10,7 +10,7 @@
 import math
 from bisect import bisect_left
 from collections import OrderedDict
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
 from itertools import islice
 from random import Random
 from weakref import WeakValueDictionary
@@ -19,6 +19,7 @@
 from indigokeel.decision import records, slow_start
 from indigokeel.decision.records import Attempt, ClassStats, Request, TenantStats, Upstream
 from indigokeel.structures.choice import by_chance, by_key, van_der_corput
+from indigokeel.structures.lanes import Lanes
 from indigokeel.structures.sums import Counts, Decaying, Estimate, hash64, mix, trim
 from indigokeel.structures.wheel import Wheel
 
@@ -114,8 +115,10 @@
         self._upstreams: dict[str, Upstream] = {}
         self._ring: list[Upstream] = []  # the subset, by salt, for keys
         self._salts: list[int] = []
-        self._cells: dict[int, list[Upstream]] = {}  # those that serve, by cell
-        self._ranked: list[Upstream] = []  # all that serve, in the order that its subset is cut from
+        # Those that serve, by zone, in the order that the subset is cut from.
+        self._serving: Lanes[Upstream] = Lanes()
+        self._cells: dict[int, list[Upstream]] = {}  # the same by cell, once laid out ...
+        self._ranked: list[Upstream] | None = None  # ... and in their order; None after a change
         self._requests: dict[str, Request] = {}
         self._idle: OrderedDict[str, None] = OrderedDict()  # with idle connections, longest ago first
         self._held: OrderedDict[str, Request] = OrderedDict()
@@ -204,10 +207,10 @@
         if event.news is not api.News.DELTA:
             listed = {member.id for member in event.members}
             for known in [name for name in self._upstreams if name not in listed]:
-                del self._upstreams[known]
+                self._withdraw(self._upstreams.pop(known))
         for member in event.members:
             self._apply(now, member)
-        self._index()
+        self._subset_until, self._ranked = -math.inf, None
         if event.news is not api.News.CACHED:
             self._watch_delay = WATCH_AGAIN
         if self._settings.ask_membership and not self._asked:
@@ -217,40 +220,42 @@
             self._advance(now, request)
 
     def _apply(self, now: float, member: api.Member) -> None:
+        known = self._upstreams.get(member.id)
+        if known is not None:
+            self._withdraw(known)
         if member.state is api.State.GONE:
             self._upstreams.pop(member.id, None)
             return
-        known = self._upstreams.get(member.id)
         if known is None or known.member.started != member.started:
             # New, or restarted: all that was known of it is void.
             known = self._upstreams[member.id] = Upstream(member, self._group(member))
         known.member, known.ramp = member, slow_start.ramp(self._settings.safety, member.started, now)
         known.scale = max(member.scale, 1e-6) if self._settings.scale_is_size else 1.0
+        if member.state is api.State.SERVING:
+            self._serving.add(member.zone, mix(known.salt, SHUFFLE), member.id, known)
+
+    def _withdraw(self, known: Upstream) -> None:
+        """It is no more among those that serve."""
+        self._serving.discard(known.member.zone, mix(known.salt, SHUFFLE), known.member.id)
 
     def _group(self, member: api.Member) -> Estimate:
         kind = self._kinds.setdefault(member.kind, Estimate(self._capacity, 0.02))
         return self._groups.setdefault((member.kind, member.cell), Estimate(kind, 0.05))
 
-    def _index(self) -> None:
-        """Lay out the serving upstreams, by cell and in the order for the subset, where every zone has a
-        place for each of its upstreams, evenly spread."""
-        serving = [u for u in self._upstreams.values() if u.member.state is api.State.SERVING]
-        lanes: dict[str, list[Upstream]] = {}
-        for upstream in sorted(serving, key=lambda u: mix(u.salt, SHUFFLE)):
-            lanes.setdefault(upstream.member.zone, []).append(upstream)
-        self._subset_until = -math.inf
-        # The order is the same at every sidecar, and each begins at one of a few places in it. Guards
-        # against keys that have a home of their own at every sidecar, and so are warm nowhere.
-        begin = self._place(len(serving))
-        order = [
-            (((rank + 0.5) / len(lane) - begin) % 1.0, i, u)
-            for i, lane in enumerate(lanes.values())
-            for rank, u in enumerate(lane)
-        ]
-        self._ranked = [u for _, _, u in sorted(order, key=lambda item: item[:2])]
-        self._cells = {}
-        for upstream in self._ranked:
-            self._cells.setdefault(upstream.member.cell, []).append(upstream)
+    def _order(self) -> Iterator[Upstream]:
+        """Those that serve, in the order for the subset. It is the same at every sidecar, and each begins at
+        one of a few places in it. Guards against keys that have a home of their own at every sidecar, and so
+        are warm nowhere."""
+        return self._serving.order(self._place(len(self._serving)))
+
+    def _all(self) -> list[Upstream]:
+        """The same as a list. It is laid out only where a choice needs it after a change of the endpoint
+        list: that takes some ms on a large fleet."""
+        if self._ranked is None:
+            self._ranked, self._cells = list(self._order()), {}
+            for upstream in self._ranked:
+                self._cells.setdefault(upstream.member.cell, []).append(upstream)
+        return self._ranked
 
     def _place(self, count: int) -> float:
         """Where in the order this sidecar's subset begins: of so many places, evenly apart, that the least
@@ -290,12 +295,12 @@
         """This sidecar's stable part of the fleet, large enough for its traffic; bad ones replaced."""
         if now >= self._subset_until:
             size = max(SUBSET_LEAST, int(self._arrivals.value(now) / RATE_TAU * SUBSET_SECONDS))
-            free = (u for u in self._ranked if u.jailed_until <= now)
+            free = (u for u in self._order() if u.jailed_until <= now)
             self._subset_now = list(islice(free, size))
             self._ring = sorted(self._subset_now, key=lambda u: u.salt)
             self._salts = [u.salt for u in self._ring]
             self._subset_until = now + REFRESH
-            self._measure_load(now, self._subset_now or self._ranked)
+            self._measure_load(now, self._subset_now or self._all())
             self._wheel.fill(now, self._subset_now if len(self._subset_now) > WHEEL_FROM else ())
         return self._subset_now
 
@@ -313,7 +318,7 @@
         warm = request.key  # 0 where keys do not stay warm
         if not request.attempts:
             pool = self._key_window(now, warm) if warm else self._subset(now)
-            free = [u for u in pool if u.jailed_until <= now] or self._ranked
+            free = [u for u in pool if u.jailed_until <= now] or self._all()
             if not free:
                 return None
             drawn = self._draw(now) if not warm and len(self._wheel) else self._spin(now, free, warm)
@@ -323,7 +328,7 @@
             return self._spin(now, free, warm) if free else None
         # A further attempt goes elsewhere, and never to a cold upstream: trouble among the warm ones
         # must not be turned on those that can bear least.
-        pool = self._ranked if request.anchor() is not None else self._subset(now)
+        pool = self._all() if request.anchor() is not None else self._subset(now)
         if request.anchor() is not None and request.cls.group is api.Group.CELL:
             pool = self._cells.get(request.attempts[0].upstream.member.cell, pool)
         tried = [attempt.upstream for attempt in request.attempts]
@@ -464,14 +469,14 @@
         fleet's traffic passes through here. A load is forgotten slowly: after a start nobody reports it."""
         self._warm = sum(u.ramp >= 1.0 for u in used)
         mean_size = sum(u.size for u in used) / max(len(used), 1)  # in quarantine: counted as like the others
-        self._full_size = mean_size * min(max(len(used), SUBSET_LEAST), len(self._ranked))
+        self._full_size = mean_size * min(max(len(used), SUBSET_LEAST), len(self._serving))
         rates = [u.rate / u.size for u in used if u.rate >= 0.0]
         if rates and self._capacity.state()[0] > 0.0:
             mean = sum(rates) / len(rates)
             asked, answered = self._arrivals.value(now) / RATE_TAU, self._in_time.value(now) / LATE_TAU
             load = mean / math.exp(self._capacity.value()) * max((asked + FEW) / (answered + FEW), 1.0)
             self._load = max(load, (self._load or 0.0) * LOAD_KEPT)
-            fleet = mean * mean_size * len(self._ranked) + 1e-9
+            fleet = mean * mean_size * len(self._serving) + 1e-9
             self._share = min(answered / fleet, 1.0) if self._settings.sidecars > 1 else 1.0
 
     def _surplus(self) -> float:
@@ -528,8 +533,8 @@
         if upstream.failures < enough or upstream.jailed_until > now:
             return
         if self._random.random() < QUARANTINE_RATIO:
-            jailed = sum(1 for u in self._ranked if u.jailed_until > now)
-            if jailed < len(self._ranked) / 2:  # never most of the fleet
+            jailed = sum(1 for u in self._all() if u.jailed_until > now)
+            if jailed < len(self._serving) / 2:  # never most of the fleet
                 # A quiet sidecar would not have come back any sooner: its time out must outlast that.
                 visits = len(self._subset_now) / (self._arrivals.value(now) / RATE_TAU + 0.1)
                 time_out = max(upstream.jail_time, QUARANTINE_VISITS * visits)
@@ -574,7 +579,7 @@
         if upstream is not None:
             self._held.pop(request.id, None)
             self._send(now, request, upstream)
-        elif request.deadline - now < MARGIN or (self._ranked and not request.attempts):
+        elif request.deadline - now < MARGIN or (self._serving and not request.attempts):
             self._end(request)  # late, or no upstream has room: told at once
         elif request.id not in self._held:
             # Nowhere to go: news of the list may come in time.
--- a/indigokeel/facade.py
+++ b/indigokeel/facade.py
@@ -261,15 +261,22 @@
         self, now: float, kind: api.News, machines: Iterable[Machine], orders: Orders, version: int = 0
     ) -> None:
         """Tell the module of machines, as the operators' word leaves them."""
-        before = self._addresses
-        laid = {name: self.cordons.lay(machine, now) for name, machine in self._machines.items()}
-        self._addresses = {name: (m.host, m.port) for name, m in laid.items() if m.state is api.State.SERVING}
+        whole = kind is not api.News.DELTA
+        names = list(self._machines) if whole else [machine.name for machine in machines]
+        listed = [self._machines[name] for name in names if name in self._machines]
+        laid = {machine.name: self.cordons.lay(machine, now) for machine in listed}
+        before = self._addresses if whole else {n: self._addresses[n] for n in names if n in self._addresses}
+        after = {name: (m.host, m.port) for name, m in laid.items() if m.state is api.State.SERVING}
+        if whole:
+            self._addresses = after
+        else:
+            for name in before:
+                del self._addresses[name]
+            self._addresses.update(after)
         # Also where one has moved: its connections lead to an address that is another's by now.
-        orders.close_idle += sorted(name for name, at in before.items() if self.address(name) != at)
+        orders.close_idle += sorted(name for name, at in before.items() if after.get(name) != at)
         if len(self._machines) <= _MOST_WARMED:
-            orders.warm += sorted(
-                name for name in self._machines if self.address(name) not in (None, before.get(name))
-            )
+            orders.warm += sorted(name for name, at in after.items() if before.get(name) != at)
         members = tuple(self._member(now, laid.get(machine.name, machine)) for machine in machines)
         self._feed(now, api.MembershipNews(kind, members, version), orders)
 
--- a/indigokeel/start_times.py
+++ b/indigokeel/start_times.py
@@ -24,7 +24,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Container, Iterable, Mapping
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
 CLOCK_ERROR_S = 3600.0  # by which the wall clock may be wrong when the offset is taken
@@ -85,8 +85,10 @@
         if not cached:
             self._current_at, self._lost = now, False
 
-    def forget_unlisted(self, listed: Container[str]) -> None:
+    def forget_unlisted(self, listed: Collection[str]) -> None:
         """Keep the starts of these upstreams, and of those that were listed before the latest alone."""
+        if len(self._starts) - len(listed) <= _MOST_UNLISTED:
+            return
         unlisted = [name for name in self._starts if name not in listed]  # the latest listed are the last
         for name in unlisted[:-_MOST_UNLISTED]:
             del self._starts[name]
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -10,8 +10,10 @@
 import pytest
 
 from indigokeel.decision import interface as api
+from indigokeel.facade import Facade
 from indigokeel.machine_list import Machine, MachineList
 from indigokeel.orders import Job, Verdict
+from tests.conftest import make_settings
 from tests.peers import SETTINGS, echo, entry, job, machine_list, running, until
 from tests.test_endings import HEALTH
 from tests.test_fleet import Fleet, machine
@@ -121,3 +123,24 @@
             0,
             0,
         )
+
+
+def test_one_change_of_a_large_list_costs_no_layout_of_the_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+    facade = Facade(make_settings(), 1, 0.0)
+    listed = tuple(machine(number) for number in range(3200))
+    facade.listed(1000.0, MachineList(1, True, listed))
+    laid: list[str] = []
+    lay = facade.cordons.lay
+
+    def counted(listed: Machine, now: float) -> Machine:
+        laid.append(listed.name)
+        return lay(listed, now)
+
+    monkeypatch.setattr(facade.cordons, "lay", counted)
+    for number in range(50):
+        gone = replace(listed[number], state=api.State.DRAINING)
+        facade.listed(1000.1, MachineList(2 + number, False, (gone,)))
+        (claim,) = facade.pick(1000.1, Job(f"j{number}", "view", 1.0)).claims
+        assert claim.node not in laid and facade.address(gone.name) is None
+    assert laid == [m.name for m in listed[:50]]
+    assert facade._balancer._ranked is None  # nor was the order laid out
