--- a/indigokeel/decision/balancer.py
+++ b/indigokeel/decision/balancer.py
@@ -10,7 +10,7 @@
 import math
 from bisect import bisect_left
 from collections import OrderedDict
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Collection, Iterable, Iterator
 from itertools import islice
 from random import Random
 from weakref import WeakValueDictionary
@@ -392,10 +392,7 @@
             if upstream.ramp < 1.0 and self._warm:  # against the even slice of some warm ones, drawn likewise
                 warm = [part(u) for u in (drawn() for _ in range(SAMPLE)) if u.ramp >= 1.0]
                 if warm:
-                    even = (
-                        sum(warm) / len(warm) * slow_start.slice_part(self._settings.safety, self._surplus())
-                    )
-                    mine = min(mine, upstream.ramp * even)
+                    mine = min(mine, upstream.ramp * self._cold_slice(warm))
             if random.random() * wheel.most >= mine * unit:
                 continue
             if self._warm or not self._spares(now, upstream, mine * (2.0 * mean or 1.0) / views):
@@ -483,6 +480,11 @@
         """Attempts for each answer: with more, more is sent than the fleet can do."""
         return max(self._sends / max(self._served, 1.0), 1.0)
 
+    def _cold_slice(self, warm: Collection[float]) -> float:
+        """What a cold upstream may have at most beside these slices of warm ones, before its ramp."""
+        part = slow_start.slice_part(self._settings.safety, self._surplus())
+        return sum(warm) / len(warm) * part
+
     def _spares(self, now: float, upstream: Upstream, part: float) -> bool:
         """Whether this request is to spare a cold upstream that would get this part of the own ones."""
         safety, surplus = self._settings.safety, self._surplus()
@@ -502,14 +504,13 @@
 
     def _spin_cold(self, now: float, parts: dict[Upstream, float], key: int) -> Upstream | None:
         """Spin where some are cold: chance alone decides whether it is a cold one that gets the request, not
-        the key, for all sidecars agree on a key. What it is spared goes to the warm ones, or nowhere."""
+        the key, for all sidecars agree on a key. Beside warm ones its slice is bounded by theirs. Where none
+        is warm, what all are spared goes nowhere: None."""
         total = sum(parts.values())
         warm = {u: part for u, part in parts.items() if u.ramp >= 1.0}
         cold = {u: part for u, part in parts.items() if u.ramp < 1.0}
         if warm:
-            even = (
-                sum(warm.values()) / len(warm) * slow_start.slice_part(self._settings.safety, self._surplus())
-            )
+            even = self._cold_slice(warm.values())
             cold = {u: min(part, u.ramp * even) for u, part in cold.items()}
             total = sum(warm.values()) + sum(cold.values())
         if self._random.random() * total < sum(cold.values()):
