--- a/indigokeel/net/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: ties submitters, execute nodes, discovery and the clock to the facade, and ends in order."""
+"""The sidecar: ties clients, upstreams, discovery and the clock to the coordinator, and ends in order."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from indigokeel import clocks
+from indigokeel.balancing.events import LAG_SAMPLE_INTERVAL_S
 from indigokeel.config import Config, ConfigError, reload_config
-from indigokeel.decision.interface import BEAT
-from indigokeel.facade import Facade
-from indigokeel.machine_list import MachineList
-from indigokeel.net import clocks
-from indigokeel.net.client_connections import ClientConnections
-from indigokeel.net.connections import Audit
-from indigokeel.net.counters import Counters
-from indigokeel.net.discovery import Discovery
-from indigokeel.net.exchange import Task
-from indigokeel.net.handover_file import HandoverFiles
-from indigokeel.net.lifecycle import Shutdown, ShutdownTimes
-from indigokeel.net.listener import ClientListener
-from indigokeel.net.management import MOST as MOST_CALLS
-from indigokeel.net.management import CallResult, Management
-from indigokeel.net.order_executor import OrderExecutor
-from indigokeel.net.pool import Pool
-from indigokeel.net.state_persistence import StatePersistence
-from indigokeel.net.submitters import Session
-from indigokeel.net.supervision import Supervisor
-from indigokeel.orders import Job, Orders
+from indigokeel.endpoints.endpoint_list import EndpointList
+from indigokeel.hot_restart.state_files import StateFiles
+from indigokeel.metrics import Counters
+from indigokeel.net.admin import MOST as MOST_CALLS
+from indigokeel.net.admin import AdminServer, CallResult
+from indigokeel.net.discovery import DiscoveryClient
+from indigokeel.net.downstream.client_connection import ClientConnection
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.net.downstream.listener import ClientListener
+from indigokeel.net.messages import OutboundRequest
+from indigokeel.net.upstream import DescriptorLeakDetector
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.process.effect_executor import EffectExecutor
+from indigokeel.process.shutdown import Shutdown, ShutdownTimes
+from indigokeel.process.state_persistence import StatePersistence
+from indigokeel.process.supervision import Supervisor
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Effects, Request
 
 _RESERVE = 32  # descriptors kept for the log, discovery, the event loop and what the system wants
-_SUBMITTERS = 0.55  # of the others: for submitters, whose crowds come and go; the rest for execute nodes
+_SUBMITTERS = 0.55  # of the others: for clients, whose crowds come and go; the rest for upstreams
 _ACCEPT_ON = 0.5  # s after SIGTERM in which connections are still taken
 _HALF_READ = 0.2  # s after that in which a message that has begun may still become whole
 _LOOK = 0.2  # s between looks at connections
-_RETIRE = 5  # looks between those at idle connections to execute nodes
+_RETIRE = 5  # looks between those at idle connections to upstreams
 _AUDIT = 25  # looks between audits of the descriptors
 _SPARE = 12  # of the reserve: for new clients while all others are at work or have yet to read a last word
 _FIRST_LIST = 1.5  # s in which discovery's first word is awaited, before this process says that it serves
@@ -52,8 +52,8 @@
     def __init__(self, config: Config) -> None:
         self._config = config
         self._counters = Counters(config.name)
-        # One clock, the system's monotonic one. Unix times of the machine list are mapped onto it once.
-        self._facade = Facade(config.settings, config.seed, clocks.unix_to_clock())
+        # One clock, the system's monotonic one. Unix times of the endpoint list are mapped onto it once.
+        self._coordinator = RequestCoordinator(config.settings, config.seed, clocks.unix_to_clock())
         limits = config.settings.limits
         self.settings = config.settings
         soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -63,9 +63,9 @@
         if config.mgmt is not None:
             sockets -= MOST_CALLS
         most = max(int((sockets - _RESERVE) * _SUBMITTERS), 8)
-        self._sessions: ClientConnections[Session] = ClientConnections(sockets, most)
-        self._pool = Pool(
-            self._facade,
+        self._clients: ClientRegistry[ClientConnection] = ClientRegistry(sockets, most)
+        self._pool = UpstreamClient(
+            self._coordinator,
             self._counters,
             limits.connect_timeout,
             limits.keepalive,
@@ -73,25 +73,25 @@
             config.seed,
             warm=config.settings.prices.connection <= 0.0 and config.settings.prices.handshake <= 0.0,
         )
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery, self._counters, self._listed, self._list_failed, self._use_known
         )
-        self._discovery.pushed = not config.settings.ask_membership
-        self._known: MachineList | None = None  # the list as last had, until it is taken in
+        self._discovery.pushed = not config.settings.polls_membership
+        self._known: EndpointList | None = None  # the list as last had, until it is taken in
         self._lag = 0.0
         self._supervisor = Supervisor(self._counters)
-        self._executor = OrderExecutor(
-            self._facade, self._pool, self._discovery, self._supervisor, self._counters
+        self._executor = EffectExecutor(
+            self._coordinator, self._pool, self._discovery, self._supervisor, self._counters
         )
-        self._audit: Audit
-        self._management = Management(self, self._counters)
+        self._audit: DescriptorLeakDetector
+        self._admin = AdminServer(self, self._counters)
         self._persistence: StatePersistence | None = None
         if config.state_dir:
             self._persistence = StatePersistence(
-                HandoverFiles(config.state_dir, config.name),
-                self._facade,
+                StateFiles(config.state_dir, config.name),
+                self._coordinator,
                 self._counters,
-                self._carry_out,
+                self._execute_effects,
                 lambda: self._discovery.version,
             )
         self._began = time.monotonic()
@@ -99,153 +99,159 @@
         self._accepting = False
         self._ending: ShutdownTimes | None = None  # once it has begun
         self.closing = False
-        self.behind = False
+        self.overloaded = False
 
-    # --- the desk at which submitters stand -----------------------------------------------------------
+    # --- the desk at which clients stand -----------------------------------------------------------
 
-    def healthy(self) -> bool:
-        return self._facade.ready() and not self.closing
+    def is_healthy(self) -> bool:
+        return self._coordinator.has_upstreams() and not self.closing
 
     def serves(self) -> bool:
         """What operators ask before they send the process before this one away."""
         heard = self._discovery.answered or time.monotonic() - self._began > _FIRST_LIST
-        return self._accepting and heard and self.healthy()
+        return self._accepting and heard and self.is_healthy()
 
     def cordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
-        self._told("cordon", who, self._facade.cordon(time.monotonic(), who), answer)
+        self._told("cordon", who, self._coordinator.cordon(time.monotonic(), who), answer)
 
     def uncordon(self, who: str, answer: Callable[[CallResult], None]) -> None:
-        self._told("uncordon", who, self._facade.uncordon(time.monotonic(), who), answer)
+        self._told("uncordon", who, self._coordinator.uncordon(time.monotonic(), who), answer)
 
-    def _told(self, call: str, who: str, orders: Orders | None, answer: Callable[[CallResult], None]) -> None:
-        self._counters.log(f"{call} of {who}" + (": nobody has it" if orders is None else ""))
-        if orders is None:
+    def _told(
+        self, call: str, who: str, effects: Effects | None, answer: Callable[[CallResult], None]
+    ) -> None:
+        self._counters.log(f"{call} of {who}" + (": nobody has it" if effects is None else ""))
+        if effects is None:
             answer(CallResult.UNKNOWN)
             return
         self._counters.add(f"{call}s")
-        self._carry_out(orders)
+        self._execute_effects(effects)
         if self._persistence is None:
             answer(CallResult.STORED)  # there is no folder, and no process that would read it
             return
         # Before the yes: the next process is bound by it too.
         self._persistence.store(lambda yes: answer(CallResult.STORED if yes else CallResult.NOT_STORED))
 
-    def knows(self, job_id: str) -> bool:
-        return self._facade.knows(job_id)
+    def is_open(self, request_id: str) -> bool:
+        return self._coordinator.is_open(request_id)
 
-    def take(self, session: Session, arrived: float, job: Job, task: Task) -> None:
-        """Take a job; its answer goes to the session, perhaps at once."""
-        self._executor.expect(job.id, session, task)
-        self._sessions.brought(session)
+    def handle_request(
+        self, client: ClientConnection, arrived: float, request: Request, outbound: OutboundRequest
+    ) -> None:
+        """Take a request; its answer goes to the session, perhaps at once."""
+        self._executor.expect(request.id, client, outbound)
+        self._clients.request_received(client)
         if self._ending is not None:  # it is answered while this process still is
-            job.budget = min(job.budget, max(self._ending.answer_by - arrived, 0.02))
-        self._carry_out(self._facade.pick(arrived, job))
-        if self._ending is not None and job.long:  # its time starts with its last byte, and ends no later
-            self._facade.finish(self._ending.answer_by)
+            request.budget = min(request.budget, max(self._ending.answer_by - arrived, 0.02))
+        self._execute_effects(self._coordinator.pick(arrived, request))
+        if self._ending is not None and request.long:  # its time starts with its last byte, and ends no later
+            self._coordinator.limit_deadlines(self._ending.answer_by)
             self._executor.timer.lower()
 
-    def uploaded(self, job_id: str) -> None:
-        self._facade.uploaded(time.monotonic(), job_id)
+    def request_body_received(self, request_id: str) -> None:
+        self._coordinator.request_body_received(time.monotonic(), request_id)
         self._executor.timer.reset()
 
-    def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
-        wait = self._facade.turn_away(arrived, job_class, budget)
+    def shed_early(
+        self, client: ClientConnection, arrived: float, class_name: str, budget: float
+    ) -> float | None:
+        wait = self._coordinator.shed_early(arrived, class_name, budget)
         if self._ending is not None and time.monotonic() >= self._ending.take_until:
             wait = self.settings.limits.max_retry_after
         if wait is not None:
-            self._sessions.brought(session)
+            self._clients.request_received(client)
         return wait
 
-    def left(self, job_id: str) -> None:
-        self._executor.forget(job_id)
-        self._carry_out(self._facade.left(time.monotonic(), job_id))
+    def client_disconnected(self, request_id: str) -> None:
+        self._executor.forget(request_id)
+        self._execute_effects(self._coordinator.client_disconnected(time.monotonic(), request_id))
 
-    def joined(self, session: Session) -> None:
-        self._counters.add("submitter_connections")
-        self._sessions.joined(session, time.monotonic())
+    def connection_opened(self, client: ClientConnection) -> None:
+        self._counters.add("client_connections")
+        self._clients.connection_opened(client, time.monotonic())
         for spare in (0, _SPARE):  # one that is told first goes with the next
-            if self._sessions.too_many(spare):
-                self._make_room(session)
+            if self._clients.is_over_limit(spare):
+                self._make_room(client)
 
-    def crowded(self) -> bool:
-        return self._sessions.crowded()
+    def is_crowded(self) -> bool:
+        return self._clients.is_crowded()
 
-    def ending(self, session: Session) -> None:
-        self._sessions.ending(session)
+    def connection_closing(self, client: ClientConnection) -> None:
+        self._clients.connection_closing(client)
 
-    def gone(self, session: Session) -> None:
-        self._sessions.gone(session)
+    def connection_closed(self, client: ClientConnection) -> None:
+        self._clients.connection_closed(client)
 
-    def _make_room(self, newest: Session) -> None:
+    def _make_room(self, newest: ClientConnection) -> None:
         """Close one connection so that the newest has a place."""
-        found = self._sessions.to_close(newest, time.monotonic())
+        found = self._clients.select_eviction(newest, time.monotonic())
         if found is newest:
-            if not self._sessions.too_many(_SPARE):
+            if not self._clients.is_over_limit(_SPARE):
                 return
-            self._counters.add("submitters_without_room")
+            self._counters.add("clients_over_limit")
         if not found.ended:
-            self._counters.add("submitters_shed")
-        if found.give_way():
-            self.gone(found)
+            self._counters.add("clients_evicted")
+        if found.evict():
+            self.connection_closed(found)
 
     def _make_room_for_waiting(self) -> None:
         """No client can be accepted for want of descriptors or memory: close what is idle, one connection to
         an upstream and one of a client, since either may be all there is."""
         self._pool.connections.shed_idle()
-        found = self._sessions.to_close_for_waiting(time.monotonic())
+        found = self._clients.select_eviction_for_backlog(time.monotonic())
         if found is not None:
-            self._counters.add("submitters_shed")
+            self._counters.add("clients_evicted")
             found.abort()
-            self.gone(found)
+            self.connection_closed(found)
 
-    # --- what the facade orders, and is told ----------------------------------------------------------
+    # --- what the coordinator orders, and is told ----------------------------------------------------------
 
-    def _carry_out(self, orders: Orders) -> None:
-        self._executor.execute(orders)
+    def _execute_effects(self, effects: Effects) -> None:
+        self._executor.execute(effects)
 
     def _use_known(self) -> None:
-        """Take in the list as last had, and what the process before had learnt of its nodes; once."""
+        """Take in the list as last had, and what the process before had learnt of its upstreams; once."""
         known, self._known = self._known, None
         if known is None:
             return
-        self._carry_out(self._facade.listed(time.monotonic(), known, cached=True))
+        self._execute_effects(self._coordinator.update_endpoints(time.monotonic(), known, cached=True))
         learned, self._learned = self._learned, None
         if learned is not None:
-            self._carry_out(self._facade.learn(time.monotonic(), learned))
+            self._execute_effects(self._coordinator.restore_learned_state(time.monotonic(), learned))
 
-    def _listed(self, news: MachineList) -> None:
-        self._carry_out(self._facade.listed(time.monotonic(), news))
+    def _listed(self, news: EndpointList) -> None:
+        self._execute_effects(self._coordinator.update_endpoints(time.monotonic(), news))
 
     def _list_failed(self) -> None:
-        self._carry_out(self._facade.list_failed(time.monotonic()))
+        self._execute_effects(self._coordinator.endpoint_watch_failed(time.monotonic()))
 
     # --- tasks ----------------------------------------------------------------------------------------
 
     def _beat(self, due: float) -> None:
-        """Measure how late the loop runs, which is what every job waits for it, and tell."""
+        """Measure how late the loop runs, which is what every request waits for it, and tell."""
         now = time.monotonic()
-        asyncio.get_running_loop().call_later(BEAT, self._beat, now + BEAT)
+        asyncio.get_running_loop().call_later(LAG_SAMPLE_INTERVAL_S, self._beat, now + LAG_SAMPLE_INTERVAL_S)
         self._lag = max(now - due, 0.0)
-        self._supervisor.attempt("beat", self._tell_lag, now)
+        self._supervisor.run_guarded("beat", self._tell_lag, now)
 
     def _tell_lag(self, now: float) -> None:
-        self._carry_out(self._facade.lagged(now, self._lag))
-        self.behind = self._facade.behind()
+        self._execute_effects(self._coordinator.sample_lag(now, self._lag))
+        self.overloaded = self._coordinator.is_overloaded()
 
     async def _housekeeping(self) -> None:
         """Look at the connections now and then."""
-        attempt = self._supervisor.attempt
+        guarded = self._supervisor.run_guarded
         looks = 0
         while True:
             await asyncio.sleep(_LOOK)
             looks += 1
             now = time.monotonic()
-            for session in self._sessions:
-                attempt("the look at a client connection", session.look, now)
+            for client in self._clients:
+                guarded("the look at a client connection", client.check_timeouts, now)
             if looks % _RETIRE == 0:
-                attempt("closing idle connections", self._pool.retire, now)
+                guarded("closing idle connections", self._pool.retire, now)
             if looks % _AUDIT == 0:
-                attempt("audit", self._audit.look)
+                guarded("audit", self._audit.look)
 
     # --- start and end --------------------------------------------------------------------------------
 
@@ -269,8 +275,8 @@
                     known = restored.known
             self._discovery.version, self._known = known.version, known
             if self._discovery.pushed:
-                # What the agent has binds from the first moment on: no job is sent by the old list alone,
-                # unless the agent is silent. Until then there is no node, and jobs are held.
+                # What the agent has binds from the first moment on: no request is sent by the old list alone,
+                # unless the agent is silent. Until then there is no upstream, and requests are held.
                 self._supervisor.keep_running("watch", self._discovery.watch)
                 loop.call_later(_FIRST_LIST, self._use_known)
             else:
@@ -283,32 +289,32 @@
             clients = ClientListener(
                 loop,
                 listener,
-                lambda: Session(self, self._counters),
+                lambda: ClientConnection(self, self._counters),
                 self._counters,
                 self._make_room_for_waiting,
             )
             clients.open()
             self._accepting = True
-            self._audit = Audit(
-                lambda: self._pool.connections.books,
-                self._pool.connections.strike,
+            self._audit = DescriptorLeakDetector(
+                lambda: self._pool.connections.table,
+                self._pool.connections.discard,
                 self._others,
                 self._counters.add,
                 lambda level, text: self._counters.log(text, level),
                 time.monotonic,
             )
             self._supervisor.keep_running("housekeeping", self._housekeeping)
-            loop.call_later(BEAT, self._beat, time.monotonic() + BEAT)
+            loop.call_later(LAG_SAMPLE_INTERVAL_S, self._beat, time.monotonic() + LAG_SAMPLE_INTERVAL_S)
             while (number := await signals.get()) not in (signal.SIGTERM, signal.SIGINT):
                 if number == signal.SIGUSR1:
                     self._dump()
                 else:
-                    self._supervisor.attempt("reload", self._reload)
+                    self._supervisor.run_guarded("reload", self._reload)
             signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # for good: the loop lets go of it
             await self._end(clients)
             if self._persistence is not None and self._ending is not None:
                 finish = self._persistence.finish
-                await self._supervisor.attempt_async("the last state", finish, self._ending.exit_by)
+                await self._supervisor.run_guarded_async("the last state", finish, self._ending.exit_by)
             self._supervisor.cancel_all()
         self._dump()
 
@@ -316,7 +322,7 @@
         """Listen for operators; an address that cannot be had now may come free."""
         while True:
             try:
-                await self._management.listen(address)
+                await self._admin.listen(address)
                 return
             except OSError as error:
                 self._counters.add("mgmt_binds_failed")
@@ -347,35 +353,35 @@
 
     def _use_config(self, config: Config) -> None:
         settings = config.settings
-        self._facade.reconfigure(settings)
+        self._coordinator.apply_settings(settings)
         self._pool.reconfigure(settings.limits.connect_timeout, settings.limits.keepalive)
         self._config, self.settings = config, settings
-        self._discovery.pushed = not settings.ask_membership
+        self._discovery.pushed = not settings.polls_membership
 
     async def _end(self, clients: ClientListener) -> None:
         """Graceful shutdown: take requests for a while, answer all that was taken before SIGKILL would come,
         and see that the answers go out."""
         self._counters.log("stopping")
-        attempt = self._supervisor.attempt
+        guarded = self._supervisor.run_guarded
         longest = max(cls.deadline for cls in self.settings.classes)
         shared = self._config.listen_fd >= 0
         # Nothing taken is answered any later, whether it came before or comes now.
         accept = 0.0 if shared else _ACCEPT_ON + _LAST_ACCEPTS
         times = self._ending = ShutdownTimes.plan(time.monotonic(), longest, accept, _HALF_READ)
-        attempt("shutdown", self._facade.finish, times.answer_by)
+        guarded("shutdown", self._coordinator.limit_deadlines, times.answer_by)
         self._executor.timer.reset()
         if not shared:
             await asyncio.sleep(_ACCEPT_ON)
         self.closing, self._accepting = True, False
         # What the system has accepted already is ours, where nobody else takes it.
-        await self._supervisor.attempt_async("closing the listener", clients.close, not shared)
+        await self._supervisor.run_guarded_async("closing the listener", clients.close, not shared)
         if not shared:
             await asyncio.sleep(_LAST_ACCEPTS)  # those accepted last may be about to write
         await Shutdown(self, self._supervisor, times, shared).run()
-        attempt("closing the operators' listener", self._management.close)
+        guarded("closing the operators' listener", self._admin.close)
 
-    def client_connections(self) -> Iterator[Session]:
-        return iter(self._sessions)
+    def client_connections(self) -> Iterator[ClientConnection]:
+        return iter(self._clients)
 
     def answers_owed(self) -> bool:
         return self._anything_owed()
@@ -386,29 +392,31 @@
     # --- counters and the audit -----------------------------------------------------------------------
 
     def _others(self) -> dict[int, str]:
-        """The descriptors in use that are no connection to an execute node."""
-        known = {session.fd: "submitter" for session in self._sessions}
+        """The descriptors in use that are no connection to an upstream."""
+        known = {client.fd: "client" for client in self._clients}
         known.update(dict.fromkeys(self._discovery.descriptors(), "discovery"))
-        known.update(dict.fromkeys(self._management.descriptors(), "operator"))
+        known.update(dict.fromkeys(self._admin.descriptors(), "operator"))
         return known
 
     def _anything_owed(self) -> bool:
-        return self._facade.owed > 0 or any(s.busy or s.unread() or s.unwritten() for s in self._sessions)
+        return self._coordinator.unanswered > 0 or any(
+            s.busy or s.has_unread_input() or s.has_unwritten_output() for s in self._clients
+        )
 
     def _dump(self) -> None:
         """Print the counters for the operators; a fault in it costs nothing else."""
-        self._supervisor.attempt("audit", self._audit.look)
-        self._supervisor.attempt("counters", self._dump_counters)
+        self._supervisor.run_guarded("audit", self._audit.look)
+        self._supervisor.run_guarded("counters", self._dump_counters)
 
     def _dump_counters(self) -> None:
         self._counters.dump(
-            owed=self._facade.owed,
-            module_faults=self._facade.faults,
-            cordoned=len(self._facade.cordons.out(time.monotonic())),
-            submitter_connections_open=len(self._sessions),
-            node_connections_open=self._pool.open,
-            node_connections_idle=self._pool.connections.idle(),
-            claims_waiting=self._pool.connections.waiting(),
+            requests_unanswered=self._coordinator.unanswered,
+            balancer_faults=self._coordinator.faults,
+            cordoned=len(self._coordinator.cordons.out(time.monotonic())),
+            client_connections_open=len(self._clients),
+            upstream_connections_open=self._pool.open,
+            upstream_connections_idle=self._pool.connections.idle(),
+            attempts_waiting=self._pool.connections.waiting(),
             loop_lag_ms=round(self._lag * 1000.0, 1),
             cpu_s=round(time.process_time(), 2),
         )
--- a/indigokeel/net/state_persistence.py
+++ b/indigokeel/process/state_persistence.py
@@ -1,7 +1,7 @@
 """Writes the state of this process for the next one, and reads what other processes wrote.
 
 The processes of one sidecar share a folder. Each keeps its files in it (``handover_file.py``) with the
-operators' cordons, the endpoint list and what the decisions have learnt (``handover.py``).
+operators' cordons, the endpoint list and what the decisions have learnt (``snapshot.py``).
 
 The marks of operators' calls, and those taken over from other processes, are stored on disk as well, synced,
 in a thread of its own for each try: a sync takes as long as the disk is busy. Where the folder fails, it is
@@ -20,14 +20,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from indigokeel import handover
-from indigokeel.facade import Facade
-from indigokeel.handover import Handover, Learned, Moment
-from indigokeel.machine_list import MachineList
-from indigokeel.net import clocks
-from indigokeel.net.counters import Counters
-from indigokeel.net.handover_file import HandoverFiles
-from indigokeel.orders import Orders
+from indigokeel import clocks
+from indigokeel.endpoints.endpoint_list import EndpointList
+from indigokeel.hot_restart import snapshot
+from indigokeel.hot_restart.snapshot import ClockReading, LearnedState, StateSnapshot
+from indigokeel.hot_restart.state_files import StateFiles
+from indigokeel.metrics import Counters
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Effects
 
 _POLL_INTERVAL_S = 0.05  # between two looks at what other processes wrote
 _WRITE_INTERVAL_S = 1.0  # between two writings of the own state
@@ -42,7 +42,7 @@
 class RestoredState:
     """What other processes of this sidecar left for a process that starts."""
 
-    known: MachineList | None = None  # the newest endpoint list
+    known: EndpointList | None = None  # the newest endpoint list
     learned: Any = None  # see ``learned.py``; None where it is too old
 
 
@@ -50,7 +50,7 @@
 class _Look:
     """What one look at the folder found that was not read before."""
 
-    found: tuple[Handover, ...] = ()  # newest first
+    found: tuple[StateSnapshot, ...] = ()  # newest first
     files: int = 0  # also those that count for nothing
     failed: bool = False  # the folder or a file in it could not be read just now
 
@@ -60,23 +60,23 @@
 
     def __init__(
         self,
-        files: HandoverFiles,
-        facade: Facade,
+        files: StateFiles,
+        coordinator: RequestCoordinator,
         counters: Counters,
-        execute: Callable[[Orders], None],
+        execute: Callable[[Effects], None],
         list_version: Callable[[], int],
     ) -> None:
-        """``execute`` carries out what the facade orders; ``list_version`` tells the endpoint list's."""
+        """``execute`` carries out what the coordinator orders; ``list_version`` tells the endpoint list's."""
         self._files = files
-        self._facade = facade
+        self._coordinator = coordinator
         self._counters = counters
         self._execute = execute
         self._list_version = list_version
         self._boot = clocks.boot_id()
         self._written_at = -math.inf  # clock time
-        self._learned: Learned | None = None
+        self._learned: LearnedState | None = None
         self._write_failed = False  # the last time
-        self._stored_revision = facade.cordons.revision
+        self._stored_revision = coordinator.cordons.revision
         self._store_failed = False  # the last time
         self._marks_changed = asyncio.Event()
         self._told_when_stored: dict[int, Callable[[bool], None]] = {}  # operators' calls, by serial number
@@ -86,8 +86,8 @@
     async def restore(self) -> RestoredState:
         """What was left before this process started, whose marks are merged. A folder that fails is looked
         at again for a second."""
-        known: MachineList | None = None
-        learned: Learned | None = None
+        known: EndpointList | None = None
+        learned: LearnedState | None = None
         starts = None
         for _ in range(_START_RETRIES):
             look = self._merge_unread()
@@ -100,7 +100,7 @@
             elif look.files == 0:
                 break
         if starts is not None:
-            self._facade.inherit_starts(starts)
+            self._coordinator.restore_start_times(starts)
         valid = learned is not None and time.monotonic() - learned.at < _LEARNED_VALID_S
         return RestoredState(known, learned.figures if learned is not None and valid else None)
 
@@ -115,7 +115,7 @@
         unreadable: set[str] = set()
         for name in names:
             try:
-                state = self._files.read(name, self._moment())
+                state = self._files.read(name, self._clock_reading())
             except OSError as error:
                 self._tell_unread(name, error)
                 unreadable.add(name)
@@ -125,8 +125,8 @@
                 continue
             if state is not None:
                 found.append(state)
-                self._execute(self._facade.merge(time.monotonic(), state.marks))
-                if self._facade.cordons.lacks(state.marks):
+                self._execute(self._coordinator.merge_cordons(time.monotonic(), state.records))
+                if self._coordinator.cordons.lacks(state.records):
                     self._written_at = -math.inf
         if self._files.synced_lost:
             self._stored_revision = _NEVER_STORED
@@ -139,26 +139,26 @@
         """Count and log what cannot be read, once as long as that lasts."""
         if name not in self._unreadable:
             self._unreadable.add(name)
-            self._counters.add("handovers_unread")
+            self._counters.add("state_files_unreadable")
             self._counters.log(f"nothing is taken over from the process before: {error}", "warning")
 
-    def _moment(self) -> Moment:
-        return Moment(time.monotonic(), self._boot, self._facade.unix_to_clock)
+    def _clock_reading(self) -> ClockReading:
+        return ClockReading(time.monotonic(), self._boot, self._coordinator.unix_to_clock)
 
     def persist(self, closing: bool = False) -> None:
         """Write the own state now. While the process closes, what it had learnt stays as it was before: the
         failures of requests that are cut off say nothing of the upstreams."""
-        moment = self._moment()
-        self._written_at = now = moment.clock
-        known = MachineList(self._list_version(), True, self._facade.machines())
+        clock_reading = self._clock_reading()
+        self._written_at = now = clock_reading.clock
+        known = EndpointList(self._list_version(), True, self._coordinator.endpoints())
         if not closing or self._learned is None:
-            self._learned = Learned(self._facade.learned(now), now)
-        marks, starts = self._facade.cordons.marks(), self._facade.starts(now)
+            self._learned = LearnedState(self._coordinator.export_learned_state(now), now)
+        records, starts = self._coordinator.cordons.records(), self._coordinator.export_start_times(now)
         try:
-            self._files.write(handover.encode(moment, marks, known, self._learned, starts))
+            self._files.write(snapshot.encode(clock_reading, records, known, self._learned, starts))
             self._write_failed = False
         except OSError as error:
-            self._counters.add("handovers_unwritten")
+            self._counters.add("state_files_unwritten")
             if not self._write_failed:  # logged once, not each second
                 self._counters.log(f"nothing can be left for the next process: {error}", "warning")
             self._write_failed = True
@@ -215,7 +215,7 @@
 
     def _owed(self) -> bool:
         """Whether a mark is not on disk yet."""
-        return self._stored_revision != self._facade.cordons.revision
+        return self._stored_revision != self._coordinator.cordons.revision
 
     def _answer(self, call: int, stored: bool) -> None:
         told = self._told_when_stored.pop(call, None)
@@ -224,8 +224,8 @@
 
     async def _try_to_store(self) -> bool:
         """Put all marks on disk; False where that fails."""
-        cordons = self._facade.cordons
-        revision, data = cordons.revision, handover.encode(self._moment(), cordons.marks())
+        cordons = self._coordinator.cordons
+        revision, data = cordons.revision, snapshot.encode(self._clock_reading(), cordons.records())
         name = self._files.reserve()
         try:
             await _in_thread(lambda: self._files.put(name, data, synced=True))
--- a/indigokeel/net/supervision.py
+++ b/indigokeel/process/supervision.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, ParamSpec, TypeVar
 
-from indigokeel.net.counters import Counters
+from indigokeel.metrics import Counters
 
 _RESTART_PAUSE_S = 0.05  # before the first restart of a loop; doubled with each further one ...
 _RESTART_PAUSE_MOST_S = 1.0  # ... up to this
@@ -36,7 +36,7 @@
         if self._stopped:
             return
         assert self._group is not None
-        task = self._group.create_task(self.attempt_async(what, call, *args))
+        task = self._group.create_task(self.run_guarded_async(what, call, *args))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -45,7 +45,7 @@
         cancelled."""
         self.spawn(what, self._restart, what, call, *args)
 
-    def attempt(self, what: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
+    def run_guarded(self, what: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
         """Call a step of a loop that goes on whatever the step raises; None where it raised."""
         try:
             return call(*args, **kwargs)
@@ -53,7 +53,7 @@
             self.fault(what, error)
             return None
 
-    async def attempt_async(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+    async def run_guarded_async(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
         """Await ``call(*args)``; an exception is logged and counted, and takes nothing else along."""
         try:
             await call(*args)
--- /dev/null
+++ b/indigokeel/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""The balancer on the wire of the simulator."""
--- a/indigokeel/adapter.py
+++ b/indigokeel/simulation/adapter.py
@@ -1,7 +1,7 @@
 """The simulator's wire: parses events, hosts instances, formats actions. It decides nothing.
 
-Run as ``python -m indigokeel.adapter``: batches on standard input, one reply a batch on standard output.
-"""
+Run as ``python -m indigokeel.simulation.adapter``: batches on standard input, one reply a batch on standard
+output."""
 
 from __future__ import annotations
 
@@ -11,22 +11,53 @@
 
 import orjson
 
+from indigokeel.balancing.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+    WatchEndpoints,
+)
+from indigokeel.balancing.balancer import Balancer
+from indigokeel.balancing.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    Event,
+    HealthCheckEnded,
+    LoadReport,
+    Member,
+    MembershipUpdate,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
+)
+from indigokeel.balancing.settings import Settings
 from indigokeel.config import LOAD_FIELDS, SettingsError, decode_settings
-from indigokeel.decision import interface as api
-from indigokeel.decision.balancer import Balancer
 
 Parts = dict[str, str]
 
-_STATES = {"SERVING": api.State.SERVING, "DRAINING": api.State.DRAINING, "DELETED": api.State.GONE}
+_STATES = {
+    "SERVING": EndpointState.SERVING,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 _ENDINGS = {
-    "completed": api.Ending.OK,
-    "errored": api.Ending.ERROR,
-    "saturated": api.Ending.REFUSED,
-    "overdue": api.Ending.TIMEOUT,
-    "refused_conn": api.Ending.NO_CONNECTION,
-    "severed": api.Ending.BROKEN,
-    "recalled": api.Ending.CANCELLED,
-    "superseded": api.Ending.NEVER_SENT,
+    "completed": AttemptOutcome.OK,
+    "errored": AttemptOutcome.ERROR,
+    "saturated": AttemptOutcome.REJECTED,
+    "overdue": AttemptOutcome.TIMED_OUT,
+    "refused_conn": AttemptOutcome.NO_CONNECTION,
+    "severed": AttemptOutcome.BROKEN,
+    "recalled": AttemptOutcome.CANCELLED,
+    "superseded": AttemptOutcome.NOT_SENT,
 }
 
 
@@ -42,7 +73,7 @@
         raise WireError("a part without '='") from None
 
 
-def parse_load(text: str | None) -> api.Load | None:
+def parse_load(text: str | None) -> LoadReport | None:
     """Read a load report; values of unknown names are skipped."""
     if not text or text == "-":
         return None
@@ -54,27 +85,27 @@
         known = LOAD_FIELDS.get(name)
         if known is not None:
             figures[known] = float(value) / 1000.0 if known == "latency" else float(value)
-    return api.Load(**figures)
+    return LoadReport(**figures)
 
 
-def parse_member(line: str) -> api.Member:
+def parse_member(line: str) -> Member:
     """Read one entry of a list of upstreams."""
     parts = parse_parts(line)
     state = _STATES.get(parts.get("lifecycle", "SERVING"))
     if state is None:
         raise WireError(f"unknown lifecycle {parts['lifecycle']!r}")
-    return api.Member(
+    return Member(
         id=parts["upstream"],
         zone=parts.get("failure-domain", ""),
         kind=parts.get("model", ""),
-        cell=int(parts.get("pod", "-1")),
+        replica_group=int(parts.get("pod", "-1")),
         state=state,
         scale=float(parts.get("scale", "1")),
         started=float(parts.get("start-time-s", "0")),
     )
 
 
-def parse_settings(text: str) -> api.Settings:
+def parse_settings(text: str) -> Settings:
     """Turn the JSON of a start message into settings; unknown keys are skipped."""
     try:
         return decode_settings(orjson.loads(text))
@@ -84,8 +115,8 @@
         raise WireError(str(error)) from None
 
 
-def _request(parts: Parts) -> api.Event:
-    return api.RequestArrived(
+def _request(parts: Parts) -> Event:
+    return RequestArrived(
         id=parts["id"],
         class_name=parts["band"],
         budget=float(parts["budget-s"]),
@@ -95,40 +126,40 @@
     )
 
 
-def _ending(parts: Parts) -> api.Ending:
+def _outcome(parts: Parts) -> AttemptOutcome:
     code = parts["state-code"]
     if code not in _ENDINGS:
         raise WireError(f"unknown state-code {code!r}")
     return _ENDINGS[code]
 
 
-def _attempt(parts: Parts) -> api.Event:
-    return api.AttemptEnded(
+def _attempt(parts: Parts) -> Event:
+    return AttemptEnded(
         id=parts["id"],
         upstream=parts["upstream"],
         attempt=int(parts["try"]),
-        ending=_ending(parts),
+        outcome=_outcome(parts),
         elapsed=float(parts["delay-seen-s"]),
         final=parts.get("final") == "1",
         load=parse_load(parts.get("feedback")),
     )
 
 
-def _probe(parts: Parts) -> api.Event:
-    return api.ProbeEnded(
+def _probe(parts: Parts) -> Event:
+    return HealthCheckEnded(
         upstream=parts["upstream"],
-        ending=_ending(parts),
+        outcome=_outcome(parts),
         elapsed=float(parts["delay-seen-s"]),
         load=parse_load(parts.get("feedback")),
     )
 
 
-_EVENTS: dict[str, Callable[[Parts], api.Event]] = {
+_EVENTS: dict[str, Callable[[Parts], Event]] = {
     "REQUEST": _request,
     "REPORT_BACK": _attempt,
-    "DEADLINE_HIT": lambda parts: api.TimerFired(int(parts["handle"])),
-    "LEFT": lambda parts: api.ClientLeft(parts["id"]),
-    "OPENED": lambda parts: api.AnswerStarted(parts["id"], parts["upstream"], int(parts["try"])),
+    "DEADLINE_HIT": lambda parts: TimerFired(int(parts["handle"])),
+    "LEFT": lambda parts: ClientDisconnected(parts["id"]),
+    "OPENED": lambda parts: ResponseStarted(parts["id"], parts["upstream"], int(parts["try"])),
     "ECHO": _probe,
 }
 
@@ -143,27 +174,27 @@
     return " ".join(text.split()) or "-"
 
 
-def format_action(sidecar: int, action: api.Action) -> str:
+def format_action(sidecar: int, action: Action) -> str:
     """Write one action as a line of the wire."""
-    if isinstance(action, api.Send):
+    if isinstance(action, SendAttempt):
         limit = f" limit-s={format_time(action.timeout)}" if action.timeout else ""
         return f"FORWARD sidecar={sidecar} id={action.id} upstream={action.upstream}{limit}"
-    if isinstance(action, api.SetTimer):
+    if isinstance(action, SetTimer):
         return f"SET_TIMER sidecar={sidecar} delay-s={format_time(action.delay)} handle={action.token}"
-    if isinstance(action, api.CloseIdle):
+    if isinstance(action, CloseIdleConnections):
         return f"SHUT_IDLE sidecar={sidecar} upstream={action.upstream}"
-    if isinstance(action, api.Refuse):
-        wait = f" retry-in-s={format_time(action.retry_in)}" if action.retry_in else ""
+    if isinstance(action, RejectRequest):
+        wait = f" retry-in-s={format_time(action.retry_after_s)}" if action.retry_after_s else ""
         return f"REJECT sidecar={sidecar} id={action.id}{wait}"
-    if isinstance(action, api.Fail):
+    if isinstance(action, FailRequest):
         return f"ABORT sidecar={sidecar} id={action.id}"
-    if isinstance(action, api.CancelAttempt):
+    if isinstance(action, CancelAttempt):
         return f"ABORT_ATTEMPT sidecar={sidecar} id={action.id} try={action.attempt}"
-    if isinstance(action, api.Probe):
+    if isinstance(action, SendHealthCheck):
         return f"HEALTH_CHECK sidecar={sidecar} upstream={action.upstream}"
-    if isinstance(action, api.Subscribe):
+    if isinstance(action, WatchEndpoints):
         return f"WATCH sidecar={sidecar} active=1"
-    if isinstance(action, api.FetchList):
+    if isinstance(action, FetchEndpoints):
         return f"LOOKUP sidecar={sidecar}"
     return f"PRINT sidecar={sidecar} reason-text={format_text(action.text)}"
 
@@ -173,7 +204,7 @@
 
     def __init__(self) -> None:
         self._instances: dict[int, Balancer] = {}
-        self._lists: dict[str, tuple[api.Member, ...]] = {}
+        self._lists: dict[str, tuple[Member, ...]] = {}
 
     def reply(self, lines: list[str]) -> list[str]:
         """Answer one batch: its lines, from the clock's to the one that ends it."""
@@ -226,20 +257,20 @@
             raise WireError("not a message of the wire")
 
     def _sync(self, now: float, parts: Parts, out: list[str]) -> None:
-        sidecar, news = int(parts["sidecar"]), api.News(parts["how"])
-        members: tuple[api.Member, ...] = ()
-        if news is not api.News.FAILED:
+        sidecar, news = int(parts["sidecar"]), UpdateKind(parts["how"])
+        members: tuple[Member, ...] = ()
+        if news is not UpdateKind.FAILED:
             number = parts["roster-id"]
             if number not in self._lists:
                 raise WireError(f"no list has the number {number}")
             members = self._lists[number]
         balancer = self._instances.get(sidecar)
         if balancer is not None:
-            event = api.MembershipNews(news, members, int(parts.get("stamp", "0")))
+            event = MembershipUpdate(news, members, int(parts.get("stamp", "0")))
             self._decide(sidecar, balancer, now, event, out)
 
     @staticmethod
-    def _decide(sidecar: int, balancer: Balancer, now: float, event: api.Event, out: list[str]) -> None:
+    def _decide(sidecar: int, balancer: Balancer, now: float, event: Event, out: list[str]) -> None:
         try:
             actions = balancer.handle(now, event)
         except Exception as error:  # the wire wants any failure of the policy told, never a hang
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -89,7 +89,7 @@
 
 
 def echo(message: Message) -> bytes:
-    """A script: what the job brought."""
+    """A script: what the request brought."""
     return ok(message.body or b"none")
 
 
@@ -141,22 +141,22 @@
 
 
 class Raw(Peer):
-    """An execute node that reads heads itself, so that long bodies in any framing can be looked at."""
+    """An upstream that reads heads itself, so that long bodies in any framing can be looked at."""
 
-    def __init__(self, talk: Callable[[socket.socket, Any], None]) -> None:
-        self.talk = talk
+    def __init__(self, exchange: Callable[[socket.socket, Any], None]) -> None:
+        self.exchange = exchange
         super().__init__(lambda message: None)
 
     def _talk(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError, ValueError), conn, conn.makefile("rb") as file:
-            self.talk(conn, file)
+            self.exchange(conn, file)
 
 
 SIZE, BLOCK = 32 << 20, os.urandom(1 << 20)
 
 
 def long_answer(conn: socket.socket, file: Any) -> None:
-    """What a raw node does: one answer of 32 MB, the same block over and over."""
+    """What a raw upstream does: one answer of 32 MB, the same block over and over."""
     while file.readline().strip():
         pass
     conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % SIZE)
@@ -164,7 +164,7 @@
         conn.sendall(BLOCK)
 
 
-class Discovery(Peer):
+class DiscoveryClient(Peer):
     """Discovery: keeps each watch open and sends on it what is pushed."""
 
     def __init__(self) -> None:
@@ -184,20 +184,22 @@
         self.watches[-1].sendall(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
 
-def entry(name: str, port: int, state: str = "Ready", cell: int = 1, since_ms: int = 0) -> dict[str, Any]:
+def entry(
+    name: str, port: int, state: str = "Ready", replica_group: int = 1, since_ms: int = 0
+) -> dict[str, Any]:
     return {
         "name": name,
         "address": f"127.0.0.1:{port}",
         "zone": "z",
         "type": "m",
-        "group": cell,
+        "group": replica_group,
         "status": state,
         "weight": 1.0,
         "since_ms": since_ms,
     }
 
 
-def machine_list(*entries: dict[str, Any], index: int = 1, whole: bool = True) -> dict[str, Any]:
+def parse_endpoint_list(*entries: dict[str, Any], index: int = 1, whole: bool = True) -> dict[str, Any]:
     return {"index": index, "snapshot": whole, "endpoints": list(entries)}
 
 
@@ -330,10 +332,10 @@
     return int(message.line.split(" ")[1]), message
 
 
-def job(
+def request(
     name: str = "view", body: bytes | None = None, wait_ms: int = 5000, more: str = "", key: str = "k1"
 ) -> bytes:
-    """A job's message; ``more`` holds further header lines."""
+    """A request's message; ``more`` holds further header lines."""
     method = "GET" if body is None else "POST"
     head = (
         f"{method} /{name}/{key} HTTP/1.1\r\nHost: a\r\nRequest-Id: {next(_ids):016x}\r\n"
@@ -349,18 +351,18 @@
     tmp: Path,
     *scripts: Callable[[Message], bytes | None] | Peer,
     sockets: int = 256,
-    discovery: Discovery | None = None,
+    discovery: DiscoveryClient | None = None,
     **more: Any,
-) -> Iterator[tuple[Program, list[Peer], Discovery]]:
-    """A program with execute nodes n0, n1 ... of one cell: peers, or what each is to do by its script."""
-    nodes = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
-    discovery = discovery or Discovery()
-    known = machine_list(*(entry(f"s-{i}", node.port) for i, node in enumerate(nodes)))
+) -> Iterator[tuple[Program, list[Peer], DiscoveryClient]]:
+    """A program with upstreams n0, n1 ... of one cell: peers, or what each is to do by its script."""
+    upstreams = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
+    discovery = discovery or DiscoveryClient()
+    known = parse_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     program = Program(tmp, known, discovery.port, sockets, **more)
     try:
-        yield program, nodes, discovery
+        yield program, upstreams, discovery
     finally:
         program.process.kill()
         program.process.wait()
-        for peer in (*nodes, discovery):
+        for peer in (*upstreams, discovery):
             peer.close()
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -17,9 +17,9 @@
 import pytest
 import uvloop
 
-from indigokeel.net.counters import Counters
-from indigokeel.net.listener import BATCH, PAUSE_LEAST, PAUSE_MOST, ClientListener
-from tests.peers import Program, echo, job, read_answer, running, until
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.listener import BATCH, PAUSE_LEAST, PAUSE_MOST, ClientListener
+from tests.peers import Program, echo, read_answer, request, running, until
 from tests.test_crowds import stopped
 from tests.test_endings import HEALTH
 
@@ -300,8 +300,8 @@
 
 def test_clients_beyond_the_real_limit_wait_until_there_is_room(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
-        assert program.ask(job())[0] == 200
-        until(lambda: program.counters()["submitter_connections_open"] == 0)
+        assert program.ask(request())[0] == 200
+        until(lambda: program.counters()["client_connections_open"] == 0)
         soft = max(map(int, os.listdir(f"/proc/{program.process.pid}/fd"))) + 4
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
         assert ask_while_stopped(program, 20) == [200] * 20
@@ -312,12 +312,12 @@
 def test_silent_clients_that_hold_all_descriptors_make_room_for_one_that_waits(tmp_path: Path) -> None:
     """They would keep their places for 2.2 s each, by tens: the client would wait for seconds."""
     with running(tmp_path, echo) as (program, _, _d):
-        assert program.ask(job())[0] == 200
-        until(lambda: program.counters()["submitter_connections_open"] == 0)
+        assert program.ask(request())[0] == 200
+        until(lambda: program.counters()["client_connections_open"] == 0)
         soft = max(map(int, os.listdir(f"/proc/{program.process.pid}/fd"))) + 4
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
         with contextlib.ExitStack() as stack:
             for _ in range(10):
                 stack.enter_context(program.connect())
             assert program.ask(HEALTH)[0] == 200
-            assert program.counters()["submitters_shed"] > 0
+            assert program.counters()["clients_evicted"] > 0
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -12,8 +12,21 @@
 
 import pytest
 
-from indigokeel import adapter
-from indigokeel.decision import interface as api
+from indigokeel.balancing.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+    WatchEndpoints,
+)
+from indigokeel.balancing.events import LoadReport
+from indigokeel.simulation import adapter
 
 ROOT = Path(__file__).resolve().parent.parent
 INFO = {
@@ -54,7 +67,7 @@
 
 def run(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-B", "-m", "indigokeel.adapter"],
+        [sys.executable, "-B", "-m", "indigokeel.simulation.adapter"],
         input=text,
         capture_output=True,
         text=True,
@@ -117,28 +130,28 @@
 
 def test_load_report_round_trip() -> None:
     load = adapter.parse_load("rate:140,busy:0.62,lat_ms:20,unknown:1")
-    assert load == api.Load(rate=140.0, utilisation=0.62, latency=0.02)
+    assert load == LoadReport(rate=140.0, utilisation=0.62, latency=0.02)
     assert adapter.parse_load(None) is None and adapter.parse_load("-") is None
 
 
 @pytest.mark.parametrize(
     ("action", "line"),
     [
-        (api.Send("a", "u", 0.08), "FORWARD sidecar=3 id=a upstream=u limit-s=0.08"),
-        (api.Send("a", "u"), "FORWARD sidecar=3 id=a upstream=u"),
-        (api.Refuse("a", 0.25), "REJECT sidecar=3 id=a retry-in-s=0.25"),
-        (api.Refuse("a"), "REJECT sidecar=3 id=a"),
-        (api.Fail("a"), "ABORT sidecar=3 id=a"),
-        (api.CancelAttempt("a", 2), "ABORT_ATTEMPT sidecar=3 id=a try=2"),
-        (api.SetTimer(0.5, 77), "SET_TIMER sidecar=3 delay-s=0.5 handle=77"),
-        (api.Probe("u"), "HEALTH_CHECK sidecar=3 upstream=u"),
-        (api.CloseIdle("u"), "SHUT_IDLE sidecar=3 upstream=u"),
-        (api.Subscribe(), "WATCH sidecar=3 active=1"),
-        (api.FetchList(), "LOOKUP sidecar=3"),
-        (api.Log("two\nlines"), "PRINT sidecar=3 reason-text=two lines"),
+        (SendAttempt("a", "u", 0.08), "FORWARD sidecar=3 id=a upstream=u limit-s=0.08"),
+        (SendAttempt("a", "u"), "FORWARD sidecar=3 id=a upstream=u"),
+        (RejectRequest("a", 0.25), "REJECT sidecar=3 id=a retry-in-s=0.25"),
+        (RejectRequest("a"), "REJECT sidecar=3 id=a"),
+        (FailRequest("a"), "ABORT sidecar=3 id=a"),
+        (CancelAttempt("a", 2), "ABORT_ATTEMPT sidecar=3 id=a try=2"),
+        (SetTimer(0.5, 77), "SET_TIMER sidecar=3 delay-s=0.5 handle=77"),
+        (SendHealthCheck("u"), "HEALTH_CHECK sidecar=3 upstream=u"),
+        (CloseIdleConnections("u"), "SHUT_IDLE sidecar=3 upstream=u"),
+        (WatchEndpoints(), "WATCH sidecar=3 active=1"),
+        (FetchEndpoints(), "LOOKUP sidecar=3"),
+        (LogMessage("two\nlines"), "PRINT sidecar=3 reason-text=two lines"),
     ],
 )
-def test_actions_on_the_wire(action: api.Action, line: str) -> None:
+def test_actions_on_the_wire(action: Action, line: str) -> None:
     assert adapter.format_action(3, action) == line
 
 
@@ -179,8 +192,8 @@
 
 def test_deploy_file_builds_and_starts_from_a_read_only_tree(tmp_path: Path) -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    modules = {path.relative_to(ROOT).as_posix() for path in (ROOT / "indigokeel/decision").glob("*.py")}
-    assert set(deploy["policy"]) == modules - {"indigokeel/decision/__init__.py"}
+    modules = {path.relative_to(ROOT).as_posix() for path in (ROOT / "indigokeel/balancing").glob("*.py")}
+    assert set(deploy["policy"]) == modules - {"indigokeel/balancing/__init__.py"}
     policy = [(ROOT / name).read_text().splitlines() for name in deploy["policy"]]
     assert sum(bool(line.strip()) for lines in policy for line in lines) > 800
     for key in ("build", "sim"):
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""Units of the decision module: each part, and each failure that was found."""
+"""Units of the balancer: each part, and each failure that was found."""
 
 from __future__ import annotations
 
@@ -9,16 +9,39 @@
 
 import pytest
 
-from indigokeel.decision import interface as api
-from indigokeel.decision.balancer import BUSY, QUARANTINE_LONGEST, Balancer
+from indigokeel.balancing.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+    WatchEndpoints,
+)
+from indigokeel.balancing.balancer import BUSY, QUARANTINE_LONGEST, Balancer
+from indigokeel.balancing.events import (
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointState,
+    HealthCheckEnded,
+    LagSampled,
+    LoadReport,
+    Member,
+    ResponseStarted,
+    TimerFired,
+    UpdateKind,
+)
+from indigokeel.balancing.settings import Limits, LoadReportSource, Prices, Safety, TenantSettings
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
 
 
-def load(rate: float, utilisation: float) -> api.Load:
-    return api.Load(rate=rate, utilisation=utilisation)
+def load(rate: float, utilisation: float) -> LoadReport:
+    return LoadReport(rate=rate, utilisation=utilisation)
 
 
-def teach(driver: Driver, loads: dict[str, api.Load], rounds: int = 400) -> None:
+def teach(driver: Driver, loads: dict[str, LoadReport], rounds: int = 400) -> None:
     """Serve requests, each answer with its upstream's report, until all have been heard."""
     for _ in range(rounds):
         driver.now += 0.02
@@ -42,11 +65,11 @@
     with pytest.raises(ValueError, match="classes"):
         Balancer(make_settings(classes=()), 1)
     with pytest.raises(ValueError, match=r"safety\.cold_from"):
-        Balancer(make_settings(safety=api.Safety(cold_from=0.0)), 1)
+        Balancer(make_settings(safety=Safety(warm_up_initial_ratio=0.0)), 1)
     with pytest.raises(ValueError, match=r"classes\[view\]\.aim"):
-        Balancer(make_settings(classes=(replace(SAFE, aim=-1.0),)), 1)
+        Balancer(make_settings(classes=(replace(SAFE, latency_objective=-1.0),)), 1)
     with pytest.raises(ValueError, match="max_attempts"):
-        Balancer(make_settings(limits=api.Limits(max_attempts=0)), 1)
+        Balancer(make_settings(limits=Limits(max_attempts=0)), 1)
 
 
 def test_wheel_prefers_the_lower_rate(driver: Driver) -> None:
@@ -72,8 +95,8 @@
 
 
 def test_a_single_noisy_report_strikes_nobody_out() -> None:
-    """Found on zone days of 200 sidecars, each of which hears of a node every few seconds: jobs with a key
-    left the nodes that had it warm, and the fleet got less done than without any reports."""
+    """Found on zone days of 200 sidecars, each of which hears of an upstream every few seconds: requests with
+    a key left the upstreams that had it warm, and the fleet got less done than without any reports."""
     names = [m.id for m in make_members(6)]
     for reports, struck in ((1, False), (2, False), (20, True)):
         driver = Driver(make_settings(), make_members(6))
@@ -106,7 +129,7 @@
     members = tuple(replace(m, zone="small" if i < 10 else "large") for i, m in enumerate(make_members(60)))
     small = 0
     for me in range(40):
-        driver = Driver(make_settings(me=me, sidecars=40, zone=""), members, me)
+        driver = Driver(make_settings(instance_index=me, sidecars=40, zone=""), members, me)
         got = driver.serve(12)
         small += sum(n for name, n in got.items() if name in {m.id for m in members[:10]})
     assert small < 40 * 12 * 10 / 60 * 1.4
@@ -120,20 +143,20 @@
 
 def test_failing_upstream_is_quarantined_and_comes_back(driver: Driver) -> None:
     bad = make_members(6)[0].id
-    driver.serve(60, {bad: api.Ending.ERROR})
-    log = driver.serve(30, {bad: api.Ending.ERROR})
+    driver.serve(60, {bad: AttemptOutcome.ERROR})
+    log = driver.serve(30, {bad: AttemptOutcome.ERROR})
     assert log.get(bad, 0) <= 3
     driver.now += QUARANTINE_LONGEST + 20.0
     assert driver.serve(60).get(bad, 0) > 0
 
 
 def test_a_failure_now_and_then_is_no_reason_for_quarantine(driver: Driver) -> None:
-    """Found on days with spoilt answers from all alike: each quarantine sent keys to upstreams that had
+    """Found on days with spoilt answers from all alike: each ejection sent keys to upstreams that had
     not met them, and the fleet jammed."""
     driver.serve(100)
     for _ in range(60):
         _, actions = driver.request("pay")
-        logs = of(driver.end(sends(actions)[0], api.Ending.BROKEN), api.Log)
+        logs = of(driver.end(sends(actions)[0], AttemptOutcome.BROKEN), LogMessage)
         assert not [log for log in logs if log.text.startswith("quarantine")]
         driver.serve(30)
 
@@ -151,22 +174,24 @@
         driver.now += 0.5
         if served_since or other.upstream != bad:
             driver.end(other)
-        ending = api.Ending.TIMEOUT if stuck.upstream == bad else api.Ending.OK
+        outcome = AttemptOutcome.TIMED_OUT if stuck.upstream == bad else AttemptOutcome.OK
         served = served_since and other.upstream == bad
-        if ending is api.Ending.OK or served or not served_since:
-            logs += of(driver.end(stuck, ending, elapsed=0.5), api.Log)
+        if outcome is AttemptOutcome.OK or served or not served_since:
+            logs += of(driver.end(stuck, outcome, elapsed=0.5), LogMessage)
     assert any(log.text == f"quarantine: {bad}" for log in logs) is quarantined
 
 
-@pytest.mark.parametrize(("ending", "ends"), [(api.Ending.TIMEOUT, True), (api.Ending.ERROR, False)])
+@pytest.mark.parametrize(
+    ("outcome", "ends"), [(AttemptOutcome.TIMED_OUT, True), (AttemptOutcome.ERROR, False)]
+)
 def test_quarantine_of_a_silent_upstream_ends_once_it_answers(
-    driver: Driver, ending: api.Ending, ends: bool
+    driver: Driver, outcome: AttemptOutcome, ends: bool
 ) -> None:
     """Found on a day with a release: a pause of 0.17 s put the largest upstream aside everywhere, for 2 s
     in which the others had no room. One that fails and answers in turn is not trusted by one answer."""
     driver.serve(100)
     bad = make_members(6)[0].id
-    waiting: list[api.Send] = []
+    waiting: list[SendAttempt] = []
     driver.now += 0.01
     while len(waiting) < 12:  # sent while it is silent
         send = sends(driver.request()[1])[0]
@@ -177,9 +202,9 @@
     last, logs = waiting.pop(), list[str]()
     driver.now += 0.5
     while waiting and f"quarantine: {bad}" not in logs:
-        logs += [log.text for log in of(driver.end(waiting.pop(), ending, elapsed=0.5), api.Log)]
+        logs += [log.text for log in of(driver.end(waiting.pop(), outcome, elapsed=0.5), LogMessage)]
     assert f"quarantine: {bad}" in logs
-    logs += [log.text for log in of(driver.end(last, elapsed=0.6), api.Log)]
+    logs += [log.text for log in of(driver.end(last, elapsed=0.6), LogMessage)]
     assert (f"quarantine ends: {bad} answers" in logs) is ends
     driver.now += 0.01
     got = {sends(driver.request()[1])[0].upstream for _ in range(60)}
@@ -187,7 +212,7 @@
 
 
 def test_most_of_the_fleet_is_never_quarantined(driver: Driver) -> None:
-    all_bad = {m.id: api.Ending.ERROR for m in make_members(6)}
+    all_bad = {m.id: AttemptOutcome.ERROR for m in make_members(6)}
     assert len(driver.serve(200, all_bad)) >= 3
     driver.now += 60.0
     assert sends(driver.request()[1])
@@ -197,26 +222,26 @@
     driver.serve(20)
     _, actions = driver.request("pay")
     first = sends(actions)[0]
-    second = sends(driver.end(first, api.Ending.REFUSED))[0]
+    second = sends(driver.end(first, AttemptOutcome.REJECTED))[0]
     assert second.upstream != first.upstream
 
 
 def test_unsafe_request_that_may_have_run_fails(driver: Driver) -> None:
     driver.serve(20)
     _, actions = driver.request("pay")
-    after = driver.end(sends(actions)[0], api.Ending.BROKEN)
-    assert of(after, api.Fail) and not sends(after) and not of(after, api.Refuse)
+    after = driver.end(sends(actions)[0], AttemptOutcome.BROKEN)
+    assert of(after, FailRequest) and not sends(after) and not of(after, RejectRequest)
 
 
 def test_keyed_repeat_stays_in_its_cell(driver: Driver) -> None:
     driver.serve(20)
-    cells = {m.id: m.cell for m in make_members(6)}
+    replica_groups = {m.id: m.replica_group for m in make_members(6)}
     for _ in range(20):
         driver.serve(5)
         _, actions = driver.request("order")
         first = sends(actions)[0]
-        for second in sends(driver.end(first, api.Ending.BROKEN)):
-            assert cells[second.upstream] == cells[first.upstream]
+        for second in sends(driver.end(first, AttemptOutcome.BROKEN)):
+            assert replica_groups[second.upstream] == replica_groups[first.upstream]
 
 
 def test_retry_budget_runs_out(driver: Driver) -> None:
@@ -226,14 +251,14 @@
         _, actions = driver.request()
         attempt = 0
         while found := sends(actions):
-            actions = driver.end(found[0], api.Ending.REFUSED, attempt)
+            actions = driver.end(found[0], AttemptOutcome.REJECTED, attempt)
             further += attempt > 0
             attempt += 1
     assert further <= 5
 
 
-@pytest.mark.parametrize("late", [api.Ending.TIMEOUT, api.Ending.BROKEN])
-def test_load_is_shed_least_worth_first_and_only_for_lateness(driver: Driver, late: api.Ending) -> None:
+@pytest.mark.parametrize("late", [AttemptOutcome.TIMED_OUT, AttemptOutcome.BROKEN])
+def test_load_is_shed_least_worth_first_and_only_for_lateness(driver: Driver, late: AttemptOutcome) -> None:
     """Found on overloaded days: a jam of late answers feeds itself through the clients' retries. And on days
     with resets: shedding for those took a fifth of the work from a fleet that had room."""
     refused = {"view": 0, "pay": 0}
@@ -244,33 +269,33 @@
         refused[name] += not sends(actions)
         for send in sends(actions):
             driver.now += 0.01
-            driver.end(send, api.Ending.OK if number % 10 < 6 else late, elapsed=0.5)
-    if late is api.Ending.TIMEOUT:
+            driver.end(send, AttemptOutcome.OK if number % 10 < 6 else late, elapsed=0.5)
+    if late is AttemptOutcome.TIMED_OUT:
         assert refused["view"] > 20 and refused["pay"] < refused["view"] / 2
     else:
         assert refused == {"view": 0, "pay": 0}
 
 
-@pytest.mark.parametrize(("worth", "spared"), [(0.1, True), (1.0, False)])
-def test_the_tenant_over_its_share_is_shed_first(worth: float, spared: bool) -> None:
+@pytest.mark.parametrize(("priority_weight", "spared"), [(0.1, True), (1.0, False)])
+def test_the_tenant_over_its_share_is_shed_first(priority_weight: float, spared: bool) -> None:
     """Found on calm days of 200 sidecars: one tenant's burst, ten times its share, had a quarter of the other
-    tenant's jobs refused or late."""
-    tenants = (api.TenantSettings("loud", quota=20.0), api.TenantSettings("quiet", quota=10.0))
-    driver = Driver(make_settings(tenants=tenants, over_share_worth=worth), make_members(6))
+    tenant's requests refused or late."""
+    tenants = (TenantSettings("loud", quota=20.0), TenantSettings("quiet", quota=10.0))
+    driver = Driver(make_settings(tenants=tenants, over_quota_weight=priority_weight), make_members(6))
     refused, asked = {"loud": 0, "quiet": 0}, {"loud": 0, "quiet": 0}
     sent: deque[float] = deque(maxlen=25)
-    driver.request(tenant="stranger")  # one job of no tenant with a quota changes nothing for the others
+    driver.request(tenant="stranger")  # one request of no tenant with a quota changes nothing for the others
     for i in range(1500):
         driver.now += 0.02
         tenant = "quiet" if i % 10 == 0 else "loud"  # 5 and 45 a second
         _, actions = driver.request(tenant=tenant)
         asked[tenant] += i > 300
-        refused[tenant] += i > 300 and bool(of(actions, api.Refuse))
+        refused[tenant] += i > 300 and bool(of(actions, RejectRequest))
         for send in sends(actions):
             # What is admitted is late while there is more of it than the fleet can do: 25 a second.
             late = len(sent) == 25 and sent[0] > driver.now - 1.0
             sent.append(driver.now)
-            driver.end(send, api.Ending.TIMEOUT if late else api.Ending.OK)
+            driver.end(send, AttemptOutcome.TIMED_OUT if late else AttemptOutcome.OK)
     parts = {tenant: refused[tenant] / asked[tenant] for tenant in asked}
     assert parts["loud"] > 0.3
     assert (parts["quiet"] < 0.3 * parts["loud"]) == spared
@@ -287,21 +312,21 @@
 def test_overdue_answer_gets_a_second_copy(driver: Driver) -> None:
     driver.serve(20)
     name, actions = driver.request()
-    timer = of(actions, api.SetTimer)[0]
+    timer = of(actions, SetTimer)[0]
     driver.now += timer.delay
-    copy = sends(driver.balancer.handle(driver.now, api.TimerFired(timer.token)))
+    copy = sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
     assert [c.id for c in copy] == [name] and copy[0].upstream != sends(actions)[0].upstream
 
 
 def test_no_second_copy_where_forbidden() -> None:
-    limits = api.Limits(max_attempts=5, second_copies=False)
+    limits = Limits(max_attempts=5, hedging=False)
     driver = Driver(make_settings(limits=limits), make_members(6))
     driver.serve(20)
     _, actions = driver.request()
     first = sends(actions)[0]
     assert 0.0 < first.timeout < 0.5
     driver.now += first.timeout
-    again = sends(driver.end(first, api.Ending.TIMEOUT, elapsed=first.timeout))
+    again = sends(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
     assert again and again[0].upstream != first.upstream
 
 
@@ -310,9 +335,9 @@
     driver.serve(20)
     _, actions = driver.request("pay")
     hung = sends(actions)[0].upstream
-    timer = of(actions, api.SetTimer)[0]
+    timer = of(actions, SetTimer)[0]
     driver.now += timer.delay
-    driver.balancer.handle(driver.now, api.TimerFired(timer.token))
+    driver.balancer.handle(driver.now, TimerFired(timer.token))
     assert picks(driver).get(hung, 0) < 600 / 6 * 0.4
 
 
@@ -330,62 +355,62 @@
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_what_is_out_for_a_request_that_is_over_is_called_off_once(allowed: bool) -> None:
-    driver = Driver(make_settings(limits=api.Limits(cancelling=allowed)), make_members(2))
+    driver = Driver(make_settings(limits=Limits(cancellation=allowed)), make_members(2))
     name, actions = driver.request()
     (send,) = sends(actions)
-    wanted = [api.CancelAttempt(name, 0)] if allowed else []
-    assert driver.balancer.handle(driver.now, api.ClientLeft(name)) == wanted
-    assert driver.balancer.handle(driver.now, api.ClientLeft(name)) == []
-    assert of(driver.end(send, api.Ending.CANCELLED), api.CancelAttempt) == []
+    wanted = [CancelAttempt(name, 0)] if allowed else []
+    assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == wanted
+    assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == []
+    assert of(driver.end(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
 
 
 @pytest.mark.parametrize(("price", "closed"), [(0.1, 5), (0.0, 0)])
 def test_idle_connections_are_closed_only_where_they_have_a_price(price: float, closed: int) -> None:
-    driver = Driver(make_settings(prices=api.Prices(connection=price)), make_members(6))
+    driver = Driver(make_settings(prices=Prices(connection=price)), make_members(6))
     names = set()
     for _ in range(60):
         send = sends(driver.request()[1])[0]
-        names |= {action.upstream for action in of(driver.end(send), api.CloseIdle)}
+        names |= {action.upstream for action in of(driver.end(send), CloseIdleConnections)}
     assert len(names) >= closed and (closed > 0 or not names)
 
 
-@pytest.mark.parametrize(("late_worth", "timeout"), [(0.0, 0.5), (0.5, 0.0)])
+@pytest.mark.parametrize(("late_weight", "timeout"), [(0.0, 0.5), (0.5, 0.0)])
 def test_attempt_ends_at_the_aim_where_a_later_answer_is_worth_nothing(
-    late_worth: float, timeout: float
+    late_weight: float, timeout: float
 ) -> None:
     """Found on a day with a slow fleet: it worked on answers nobody counted, until all came late."""
-    driver = Driver(make_settings(classes=(replace(UNSAFE, late_worth=late_worth),)), make_members(2))
+    driver = Driver(make_settings(classes=(replace(UNSAFE, late_weight=late_weight),)), make_members(2))
     name, actions = driver.request("pay", budget=1.5)
     assert sends(actions)[0].timeout == timeout
     driver.now += 0.5
-    (end,) = driver.end(sends(actions)[0], api.Ending.TIMEOUT, elapsed=0.5)
-    assert end == api.Fail(name)
+    (end,) = driver.end(sends(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=0.5)
+    assert end == FailRequest(name)
 
 
 def test_drained_upstream_gets_nothing(driver: Driver) -> None:
     one = make_members(6)[0]
-    driver.news((replace(one, state=api.State.DRAINING),))
+    driver.news((replace(one, state=EndpointState.DRAINING),))
     assert one.id not in driver.serve(100)
-    driver.news((replace(one, state=api.State.GONE),))
+    driver.news((replace(one, state=EndpointState.GONE),))
     assert one.id not in driver.serve(100)
 
 
 def test_absent_from_a_full_list_is_gone(driver: Driver) -> None:
-    driver.news(make_members(6)[1:], api.News.FULL)
+    driver.news(make_members(6)[1:], UpdateKind.FULL)
     assert make_members(6)[0].id not in driver.serve(100)
 
 
 def test_request_without_upstreams_waits_for_news_and_is_refused_in_time() -> None:
     driver = Driver(make_settings(), ())
     name, actions = driver.request(budget=0.5)
-    timer = of(actions, api.SetTimer)[0]
+    timer = of(actions, SetTimer)[0]
     assert not sends(actions) and timer.delay < 0.25  # nothing was tried: told while there is time elsewhere
     assert [s.id for s in sends(driver.news(make_members(2)))] == [name]
     driver = Driver(make_settings(), ())
     name, actions = driver.request("pay", budget=0.5)
     driver.now += timer.delay
-    late = driver.balancer.handle(driver.now, api.TimerFired(of(actions, api.SetTimer)[0].token))
-    assert [r.id for r in of(late, api.Refuse)] == [name]
+    late = driver.balancer.handle(driver.now, TimerFired(of(actions, SetTimer)[0].token))
+    assert [r.id for r in of(late, RejectRequest)] == [name]
 
 
 def test_cold_upstream_gets_a_ramped_slice(driver: Driver) -> None:
@@ -401,21 +426,21 @@
     for _ in range(30):
         _, actions = driver.request()
         for send in sends(actions):
-            for again in sends(driver.end(send, api.Ending.REFUSED)):
+            for again in sends(driver.end(send, AttemptOutcome.REJECTED)):
                 assert again.upstream == make_members(6)[0].id
 
 
 @pytest.mark.parametrize("within", [10.0, 3.0, 1.5])
 def test_discovery_is_asked_at_start_and_again_after_a_failure(within: float) -> None:
     """Well within the time that the settings give for asking; 4 s were fitted to a deployment with 10 s."""
-    driver = Driver(make_settings(ask_membership=True, safety=api.Safety(ask_within=within)), make_members(3))
-    assert of(driver.first, api.Subscribe)
+    driver = Driver(make_settings(polls_membership=True, safety=Safety(poll_within=within)), make_members(3))
+    assert of(driver.first, WatchEndpoints)
     waits = []
     for _ in range(6):
-        timer = of(driver.news((), api.News.FAILED), api.SetTimer)[0]
+        timer = of(driver.news((), UpdateKind.FAILED), SetTimer)[0]
         waits.append(timer.delay)
         driver.now += timer.delay
-        assert of(driver.balancer.handle(driver.now, api.TimerFired(timer.token)), api.Subscribe)
+        assert of(driver.balancer.handle(driver.now, TimerFired(timer.token)), WatchEndpoints)
     assert max(waits) <= 0.4 * within and waits[-1] > waits[0]
     assert sends(driver.request()[1]), "the list in hand stays"
 
@@ -423,10 +448,10 @@
 def test_discovery_is_asked_again_at_once_after_a_watch_that_had_told_something() -> None:
     """Calls are handled in turn: half a second late in the queue, an answer came after its drain was due."""
     for seed in range(20):
-        driver = Driver(make_settings(ask_membership=True), make_members(3), seed)
+        driver = Driver(make_settings(polls_membership=True), make_members(3), seed)
         for _ in range(2):
             driver.news(make_members(3))
-            waits = [of(driver.news((), api.News.FAILED), api.SetTimer)[0].delay for _ in range(3)]
+            waits = [of(driver.news((), UpdateKind.FAILED), SetTimer)[0].delay for _ in range(3)]
             assert waits[0] <= 0.1 < 0.25 <= waits[1] <= 0.5 <= waits[2] <= 1.0
 
 
@@ -436,49 +461,53 @@
     for key in ("91f03b7c55d20a64", "17c55d20a6491f03"):
         homes = set()
         for me in range(20):
-            driver = Driver(make_settings(me=me, sidecars=20, warm_keys=True), make_members(upstreams), me)
+            driver = Driver(
+                make_settings(instance_index=me, sidecars=20, key_affinity=True), make_members(upstreams), me
+            )
             _, actions = driver.request(key=key)
             homes.add(sends(actions)[0].upstream)
         assert len(homes) <= most
 
 
 def test_hot_key_is_spread() -> None:
-    driver = Driver(make_settings(warm_keys=True), make_members(12))
+    driver = Driver(make_settings(key_affinity=True), make_members(12))
     assert len(driver.serve(60, key="aa")) >= 6
 
 
 def test_probes_are_few_and_only_where_allowed() -> None:
-    def probes(**changes: object) -> int:
+    def health_checks(**changes: object) -> int:
         driver, count = Driver(make_settings(**changes), make_members(6)), 0
         for _ in range(100):
             driver.now += 0.5
             _, actions = driver.request()
             driver.end(sends(actions)[0])
-            for probe in of(actions, api.Probe):
+            for probe in of(actions, SendHealthCheck):
                 count += 1
                 driver.balancer.handle(
-                    driver.now, api.ProbeEnded(probe.upstream, api.Ending.OK, 0.001, load(20.0, 0.5))
+                    driver.now, HealthCheckEnded(probe.upstream, AttemptOutcome.OK, 0.001, load(20.0, 0.5))
                 )
         return count
 
-    allowed = api.Limits(probes=True)
-    assert 5 <= probes(limits=allowed, reports=api.Reports.PROBES) <= 40
-    assert probes(limits=api.Limits(), reports=api.Reports.PROBES) == 0
-    assert probes(limits=allowed, reports=api.Reports.ANSWERS) == 0
+    allowed = Limits(health_checks=True)
+    assert 5 <= health_checks(limits=allowed, load_report_source=LoadReportSource.HEALTH_CHECKS) <= 40
+    assert health_checks(limits=Limits(), load_report_source=LoadReportSource.HEALTH_CHECKS) == 0
+    assert health_checks(limits=allowed, load_report_source=LoadReportSource.ANSWERS) == 0
 
 
 def in_flight(driver: Driver, **held: float) -> None:
     """Have upstreams tell, by probe, how many requests they hold."""
     for name, count in held.items():
-        ended = api.ProbeEnded(name, api.Ending.OK, 0.001, api.Load(in_flight=count))
+        ended = HealthCheckEnded(name, AttemptOutcome.OK, 0.001, LoadReport(in_flight=count))
         driver.balancer.handle(driver.now, ended)
 
 
-def named(*names: str, **changes: Any) -> tuple[api.Member, ...]:
-    return tuple(replace(make_members(1)[0], id=name, cell=-1, **changes) for name in names)
+def named(*names: str, **changes: Any) -> tuple[Member, ...]:
+    return tuple(replace(make_members(1)[0], id=name, replica_group=-1, **changes) for name in names)
 
 
-PROBED = make_settings(reports=api.Reports.PROBES, limits=api.Limits(probes=True, max_attempts=5))
+PROBED = make_settings(
+    load_report_source=LoadReportSource.HEALTH_CHECKS, limits=Limits(health_checks=True, max_attempts=5)
+)
 
 
 def test_upstream_that_holds_more_than_it_answers_in_time_gets_no_more() -> None:
@@ -490,8 +519,8 @@
         (send,) = sends(actions)
         assert send.upstream == "c"
         _, actions = driver.request()  # by its own attempt since, it holds two now
-        assert not sends(actions) and [type(action) for action in actions if of([action], api.Refuse)]
-        assert not sends(driver.end(send, api.Ending.ERROR))  # no further attempt where none has room
+        assert not sends(actions) and [type(action) for action in actions if of([action], RejectRequest)]
+        assert not sends(driver.end(send, AttemptOutcome.ERROR))  # no further attempt where none has room
         in_flight(driver, a=0, b=9, c=9)
         assert driver.serve(1) == {"a": 1}
 
@@ -500,7 +529,7 @@
     driver = Driver(PROBED, named("a", "b"))
     in_flight(driver, a=9, b=9)
     name, actions = driver.request()
-    assert [action.id for action in of(actions, api.Refuse)] == [name] and not of(actions, api.SetTimer)
+    assert [action.id for action in of(actions, RejectRequest)] == [name] and not of(actions, SetTimer)
 
 
 def test_own_attempts_that_have_not_arrived_yet_are_not_held() -> None:
@@ -525,11 +554,11 @@
     """A report that lacks the figure changes nothing of what is known."""
     driver = Driver(PROBED, named("a"))
     in_flight(driver, a=9)
-    for nothing in (None, api.Load(), api.Load(rate=0.0, utilisation=0.0)):
-        driver.balancer.handle(driver.now, api.ProbeEnded("a", api.Ending.OK, 0.001, nothing))
+    for nothing in (None, LoadReport(), LoadReport(rate=0.0, utilisation=0.0)):
+        driver.balancer.handle(driver.now, HealthCheckEnded("a", AttemptOutcome.OK, 0.001, nothing))
         assert not sends(driver.request()[1])
-    for ending in (api.Ending.TIMEOUT, api.Ending.REFUSED, api.Ending.NO_CONNECTION):
-        driver.balancer.handle(driver.now, api.ProbeEnded("a", ending, 0.001))
+    for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION):
+        driver.balancer.handle(driver.now, HealthCheckEnded("a", outcome, 0.001))
         assert not sends(driver.request()[1])
 
 
@@ -550,13 +579,13 @@
 
 @pytest.mark.parametrize("price", [0.0, 0.002, 0.02, 1.0])
 def test_probes_cost_no_more_than_their_part_of_the_whole(price: float) -> None:
-    prices, count = api.Prices(probe=price), 0
+    prices, count = Prices(health_check=price), 0
     driver = Driver(replace(PROBED, prices=prices), named("a", "b", "c"))
     for _ in range(2000):
         driver.now += 0.05
         _, actions = driver.request()
         driver.end(sends(actions)[0])
-        for probe in of(actions, api.Probe):
+        for probe in of(actions, SendHealthCheck):
             count += 1
             in_flight(driver, **{probe.upstream: 0})
     assert (count - 8) / 2000 * price <= 0.002 and count <= 2000 and (price > 0.1 or count > 100)
@@ -565,10 +594,10 @@
 def test_late_and_unknown_outcomes_are_passed_over(driver: Driver) -> None:
     _, actions = driver.request()
     send = sends(actions)[0]
-    driver.balancer.handle(driver.now, api.ClientLeft(send.id))
-    assert not driver.end(send, api.Ending.TIMEOUT)
-    assert not driver.end(api.Send("nobody", send.upstream), api.Ending.OK)
-    assert not driver.balancer.handle(driver.now, api.TimerFired(999))
+    driver.balancer.handle(driver.now, ClientDisconnected(send.id))
+    assert not driver.end(send, AttemptOutcome.TIMED_OUT)
+    assert not driver.end(SendAttempt("nobody", send.upstream), AttemptOutcome.OK)
+    assert not driver.balancer.handle(driver.now, TimerFired(999))
 
 
 def test_stream_is_not_copied_once_it_has_started() -> None:
@@ -576,10 +605,10 @@
     driver = Driver(make_settings(classes=(stream, KEYED)), make_members(6))
     driver.serve(10)
     name, actions = driver.request()
-    send, timer = sends(actions)[0], of(actions, api.SetTimer)[0]
-    driver.balancer.handle(driver.now, api.AnswerStarted(name, send.upstream, 0))
+    send, timer = sends(actions)[0], of(actions, SetTimer)[0]
+    driver.balancer.handle(driver.now, ResponseStarted(name, send.upstream, 0))
     driver.now += timer.delay
-    assert not sends(driver.balancer.handle(driver.now, api.TimerFired(timer.token)))
+    assert not sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
 
 
 def test_cold_survivors_do_not_take_what_the_busy_warm_ones_are_struck_out_for() -> None:
@@ -606,7 +635,7 @@
 
 
 def known_fleet(count: int, rates: list[float], **more: object) -> Driver:
-    """A driver whose module has heard each rate at each node, all at a standing clock."""
+    """A driver whose module has heard each rate at each upstream, all at a standing clock."""
     driver = Driver(make_settings(**more), make_members(count))
     names = [m.id for m in make_members(count)]
     picks(driver, 600)  # traffic for which the subset is the whole fleet
@@ -624,7 +653,7 @@
 
 @pytest.mark.parametrize("known", [100, 70])
 def test_odds_of_a_large_fleet_are_those_of_the_whole_wheel(known: int) -> None:
-    """Chi-square of 20,000 picks against the slices of docs/design.md; nodes without a report earn the
+    """Chi-square of 20,000 picks against the slices of docs/design.md; upstreams without a report earn the
     average slice."""
     rates = [5.0 + 3.0 * (i % 20) for i in range(100)]
     driver = known_fleet(100, rates)
@@ -682,7 +711,7 @@
     """After any sequence of news, expiry and membership the sums equal those made anew."""
     random = Random(5)
     driver = Driver(make_settings(), make_members(60))
-    wheel = driver.balancer._wheel
+    index = driver.balancer._wheel
     for step in range(6000):
         driver.now += random.choice((0.0, 0.001, 0.02))
         _, actions = driver.request()
@@ -690,31 +719,31 @@
         if random.random() < 0.9:
             driver.end(send, elapsed=0.1, load=load(random.uniform(0, 50), random.uniform(0.1, 1.05)))
         if step % 500 == 0:
-            gone = replace(make_members(60)[random.randrange(60)], state=api.State.GONE)
+            gone = replace(make_members(60)[random.randrange(60)], state=EndpointState.GONE)
             driver.news((gone,))
             driver.news(make_members(60))
-        wheel.refresh(driver.now)
-        for side in (wheel.survivors, wheel.struck):
+        index.refresh(driver.now)
+        for side in (index.survivors, index.struck):
             assert side.open == sum(u.open for u in side.members)
             assert side.known == sum(u.rate >= 0.0 for u in side.members)
             assert side.views() == pytest.approx(sum(u.view for u in side.members), abs=1e-6)
         if step % 50 == 0:
-            for side, busy in ((wheel.survivors, False), (wheel.struck, True)):
+            for side, busy in ((index.survivors, False), (index.struck, True)):
                 assert all((u.utilisation > BUSY) is busy for u in side.members)
-    assert len(wheel) == 60
+    assert len(index) == 60
 
 
 def beat(driver: Driver, lag: float, beats: int) -> None:
     for _ in range(beats):
         driver.now += 0.05
-        driver.balancer.handle(driver.now, api.Lagged(lag))
+        driver.balancer.handle(driver.now, LagSampled(lag))
 
 
 def let_in(driver: Driver, class_name: str, budget: float = 1.5) -> float:
     """The part of a class that is not turned away at the door, of 500; those let in are served."""
     taken = 0
     for _ in range(500):
-        if driver.balancer.turn_away(driver.now, class_name, budget) is None:
+        if driver.balancer.shed_early(driver.now, class_name, budget) is None:
             taken += 1
             _, actions = driver.request(class_name)
             for send in sends(actions):
@@ -740,12 +769,12 @@
 
 
 def test_what_a_late_sidecar_cannot_answer_in_time_is_refused_with_the_wait(driver: Driver) -> None:
-    limits = api.Limits(retry_after=True, max_retry_after=0.1)
+    limits = Limits(retry_after=True, max_retry_after=0.1)
     driver = Driver(make_settings(limits=limits), make_members(3))
     beat(driver, 0.4, 5)
-    assert driver.balancer.turn_away(driver.now, "pay", 0.4) == 0.1
-    assert driver.balancer.turn_away(driver.now, "pay", 1.4) is None
-    assert driver.balancer.turn_away(driver.now, "nobody's", 0.1) is None
+    assert driver.balancer.shed_early(driver.now, "pay", 0.4) == 0.1
+    assert driver.balancer.shed_early(driver.now, "pay", 1.4) is None
+    assert driver.balancer.shed_early(driver.now, "nobody's", 0.1) is None
 
 
 def test_probe_that_this_machine_could_not_send_blames_nobody() -> None:
@@ -753,9 +782,9 @@
     for _ in range(40):
         driver.now += 0.2
         _, actions = driver.request()
-        for probe in of(actions, api.Probe):
-            ended = api.ProbeEnded(probe.upstream, api.Ending.NEVER_SENT, 0.001, None)
-            assert not of(driver.balancer.handle(driver.now, ended), api.Log)
-            assert driver.balancer.known()[1][probe.upstream].failures == 0
+        for probe in of(actions, SendHealthCheck):
+            ended = HealthCheckEnded(probe.upstream, AttemptOutcome.NOT_SENT, 0.001, None)
+            assert not of(driver.balancer.handle(driver.now, ended), LogMessage)
+            assert driver.balancer.learned_figures()[1][probe.upstream].failures == 0
         (send,) = sends(actions)
         driver.end(send)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,24 +15,24 @@
 import pytest
 
 from indigokeel.net import http
-from indigokeel.net.bodies import Stream, Upload
-from indigokeel.net.exchange import Exchange, UnsoundError
+from indigokeel.net.streams import RequestStream, ResponseStream
+from indigokeel.net.upstream.response_parser import InvalidResponseError, ResponseParser
 from tests.peers import (
     BLOCK,
     SIZE,
     WAIT,
-    Discovery,
+    DiscoveryClient,
     Message,
     Program,
     Raw,
     echo,
     entry,
-    job,
     long_answer,
-    machine_list,
     ok,
+    parse_endpoint_list,
     read_answer,
     read_message,
+    request,
     rss,
     running,
     until,
@@ -62,51 +62,55 @@
     with running(tmp_path, lambda _: answer) as (program, _, _d), program.connect() as conn:
         file = conn.makefile("rb")
         for _ in range(3):
-            conn.sendall(job())
+            conn.sendall(request())
             code, got = read_answer(file)
             assert code == 200 and got.body == LONG
         counters = program.counters()
-        assert (counters["jobs_served"], counters["answers_begun"], counters["owed"]) == (3, 3, 0)
+        assert (counters["requests_served"], counters["answers_begun"], counters["requests_unanswered"]) == (
+            3,
+            3,
+            0,
+        )
 
 
 def test_short_answer_to_the_end_of_its_connection_is_whole(tmp_path: Path) -> None:
     answer = b"!HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"
     with running(tmp_path, lambda _: answer) as (program, _, _d):
-        assert program.ask(job("pay", b"x"))[1].body == b"to the end"
+        assert program.ask(request("pay", b"x"))[1].body == b"to the end"
 
 
 def test_long_answer_that_breaks_off_shows_it_and_is_not_made_again(tmp_path: Path) -> None:
-    with running(tmp_path, lambda _: b"!" + ok(LONG)[:-9]) as (program, nodes, _):
+    with running(tmp_path, lambda _: b"!" + ok(LONG)[:-9]) as (program, upstreams, _):
         with program.connect() as conn:
-            conn.sendall(job())
+            conn.sendall(request())
             file = conn.makefile("rb")
             code, answer = read_answer(file)
             assert code == 200 and len(answer.body) < int(answer.headers["content-length"]) == len(LONG)
-        assert len(nodes[0].got) == 1 and program.counters()["answers_cut_off"] == 1
+        assert len(upstreams[0].got) == 1 and program.counters()["answers_cut_off"] == 1
 
 
 def test_32_mb_to_a_slow_reader_take_no_memory(tmp_path: Path) -> None:
     with running(tmp_path, Raw(long_answer)) as (program, _, _d):
-        assert program.counters()["owed"] == 0
+        assert program.counters()["requests_unanswered"] == 0
         before, most, got = rss(program), 0, 0
         with program.connect() as conn:
-            conn.sendall(job())
+            conn.sendall(request())
             file = conn.makefile("rb")
             assert file.readline().startswith(b"HTTP/1.1 200")
             while file.readline().strip():
                 pass
-            time.sleep(0.3)  # reads nothing for a while: what was sent waits at the node
+            time.sleep(0.3)  # reads nothing for a while: what was sent waits at the upstream
             while got < SIZE:
                 data = file.read(min(1 << 20, SIZE - got))
                 assert data and data == BLOCK[: len(data)]
                 got += len(data)
                 most = max(most, rss(program))
-        until(lambda: program.counters()["node_connections_open"] <= 1)
+        until(lambda: program.counters()["upstream_connections_open"] <= 1)
         assert most - before < 4096 and rss(program) - before < 4096  # kB
 
 
 def test_node_that_resets_at_its_last_byte_is_whole_or_shows(tmp_path: Path) -> None:
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         conn.sendall(ok(LONG))
@@ -114,17 +118,17 @@
         conn.close()
         file.close()
 
-    with running(tmp_path, Raw(talk)) as (program, _, _d):
+    with running(tmp_path, Raw(exchange)) as (program, _, _d):
         short = 0
         for _ in range(5):
             with program.connect() as conn:
-                conn.sendall(job())
+                conn.sendall(request())
                 code, answer = read_answer(conn.makefile("rb"))
                 short += len(answer.body) < len(LONG)
                 assert code == 200 and LONG.startswith(answer.body)
                 assert answer.headers["content-length"] == str(len(LONG))
         counters = program.counters()
-        assert counters["owed"] == 0 and counters["answers_begun"] == 5
+        assert counters["requests_unanswered"] == 0 and counters["answers_begun"] == 5
         # Told by the reset, at once, and not by the time for a stream that stands still.
         assert counters.get("answers_cut_off", 0) == short
 
@@ -132,7 +136,7 @@
 def test_half_an_answer_with_a_reset_behind_it_is_known_at_once(tmp_path: Path) -> None:
     process: list[subprocess.Popen[bytes]] = []
 
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         process[0].send_signal(signal.SIGSTOP)  # so that it hears of both in one
@@ -142,17 +146,17 @@
         file.close()
         process[0].send_signal(signal.SIGCONT)
 
-    with running(tmp_path, Raw(talk)) as (program, _, _d):
+    with running(tmp_path, Raw(exchange)) as (program, _, _d):
         process.append(program.process)
-        assert program.ask(job("pay", b"x"))[0] == 500
+        assert program.ask(request("pay", b"x"))[0] == 500
         counters = program.counters()
-        assert counters["claim_broken"] == 1 and "claim_given_up" not in counters
+        assert counters["attempt_broken"] == 1 and "attempt_cancelled" not in counters
 
 
 def test_submitter_that_leaves_within_a_long_answer_ends_it_at_the_node(tmp_path: Path) -> None:
     ended = threading.Event()
 
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         try:
@@ -162,26 +166,26 @@
         except OSError:
             ended.set()
 
-    with running(tmp_path, Raw(talk)) as (program, _, _d):
+    with running(tmp_path, Raw(exchange)) as (program, _, _d):
         with program.connect() as conn:
-            conn.sendall(job())
+            conn.sendall(request())
             assert conn.recv(1000)
         assert ended.wait(WAIT)
-        until(lambda: program.counters()["node_connections_open"] == 0)
+        until(lambda: program.counters()["upstream_connections_open"] == 0)
 
 
 def test_sigterm_within_a_long_answer_lets_it_come_to_its_end(tmp_path: Path) -> None:
     go = threading.Event()
 
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:100_000])
         assert go.wait(WAIT)
         conn.sendall(LONG[100_000:])
 
-    with running(tmp_path, Raw(talk)) as (program, _, _d), program.connect() as conn:
-        conn.sendall(job())
+    with running(tmp_path, Raw(exchange)) as (program, _, _d), program.connect() as conn:
+        conn.sendall(request())
         file = conn.makefile("rb")
         first = file.readline()
         program.process.send_signal(signal.SIGTERM)
@@ -193,11 +197,12 @@
         assert program.process.wait(WAIT) == 0
 
 
-# --- jobs -------------------------------------------------------------------------------------------------
+# --- requests
+# -------------------------------------------------------------------------------------------------
 
 
 def _post(body: bytes, framing: str) -> bytes:
-    head = job("pay", b"").replace(b"Content-Length: 0\r\n", framing.encode())
+    head = request("pay", b"").replace(b"Content-Length: 0\r\n", framing.encode())
     return head + body
 
 
@@ -213,13 +218,13 @@
 def test_long_job_passes_whole_once(tmp_path: Path, raw: bytes, slow: bool) -> None:
     bodies: list[bytes] = []
 
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while (message := read_message(file)) is not None:
             assert message.line.startswith("POST /pay/")
             bodies.append(message.body)
             conn.sendall(ok(b"took %d" % len(message.body)))
 
-    with running(tmp_path, Raw(talk)) as (program, _, _d), program.connect() as conn:
+    with running(tmp_path, Raw(exchange)) as (program, _, _d), program.connect() as conn:
         file = conn.makefile("rb")
         for number in (1, 2):
             raw = raw.replace(b"Request-Id: ", b"Request-Id: %d" % number, 1)
@@ -236,13 +241,13 @@
                 code, answer = read_answer(file)
             assert (code, answer.body) == (200, b"took %d" % len(LONG))
         assert bodies == [LONG, LONG]
-        assert program.counters()["owed"] == 0
+        assert program.counters()["requests_unanswered"] == 0
 
 
 def test_time_of_a_long_job_starts_at_its_last_byte(tmp_path: Path) -> None:
-    """Sent for longer than its submitter will wait for the answer, and served."""
+    """Sent for longer than its client will wait for the answer, and served."""
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
-        raw = job("pay", LONG, wait_ms=300)
+        raw = request("pay", LONG, wait_ms=300)
         conn.sendall(raw[:200_000])
         time.sleep(0.5)
         conn.sendall(raw[200_000:])
@@ -250,25 +255,25 @@
 
 
 def test_long_job_that_breaks_off_is_no_job_at_the_node(tmp_path: Path) -> None:
-    with running(tmp_path, echo) as (program, nodes, _):
+    with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
-            conn.sendall(job("pay", LONG)[:-9])
-            until(lambda: program.counters()["jobs_taken"] == 1)
-        until(lambda: program.counters()["owed"] == 0)
-        until(lambda: program.counters()["node_connections_open"] == 0)
-        assert all(len(message.body) <= len(LONG) - 9 for message in nodes[0].got)
+            conn.sendall(request("pay", LONG)[:-9])
+            until(lambda: program.counters()["requests_accepted"] == 1)
+        until(lambda: program.counters()["requests_unanswered"] == 0)
+        until(lambda: program.counters()["upstream_connections_open"] == 0)
+        assert all(len(message.body) <= len(LONG) - 9 for message in upstreams[0].got)
 
 
 def test_long_job_that_no_node_takes_is_answered_at_once_and_read_to_its_end(tmp_path: Path) -> None:
     closed = socket.create_server(("127.0.0.1", 0))
     port = closed.getsockname()[1]
     closed.close()
-    discovery = Discovery()
-    program = Program(tmp_path, machine_list(entry("s-0", port)), discovery.port, 256)
+    discovery = DiscoveryClient()
+    program = Program(tmp_path, parse_endpoint_list(entry("s-0", port)), discovery.port, 256)
     try:
         with program.connect() as conn:
             file = conn.makefile("rb")
-            raw = job("pay", LONG)
+            raw = request("pay", LONG)
             conn.sendall(raw[:300_000])
             code, answer = read_answer(file)  # before the rest is sent
             assert code == 503 and "retry-after" in answer.headers
@@ -284,15 +289,17 @@
 def test_long_job_behind_another_waits_its_turn(tmp_path: Path) -> None:
     go = threading.Event()
 
-    def node(message: Message) -> bytes:
+    def upstream(message: Message) -> bytes:
         if message.body == b"first":
             assert go.wait(WAIT)
         return echo(message)
 
-    with running(tmp_path, node) as (program, _, _d), program.connect() as conn:
-        sender = threading.Thread(target=conn.sendall, args=(job("pay", b"first") + job("pay", LONG),))
+    with running(tmp_path, upstream) as (program, _, _d), program.connect() as conn:
+        sender = threading.Thread(
+            target=conn.sendall, args=(request("pay", b"first") + request("pay", LONG),)
+        )
         sender.start()
-        until(lambda: program.counters()["jobs_taken"] == 1)
+        until(lambda: program.counters()["requests_accepted"] == 1)
         go.set()
         file = conn.makefile("rb")
         assert read_answer(file)[1].body == b"first"
@@ -317,7 +324,7 @@
     def resume(self) -> None:
         self.paused = False
 
-    def left_by_now(self) -> bool:
+    def has_disconnected(self) -> bool:
         return self.gone
 
     def clear(self) -> bool:
@@ -335,47 +342,47 @@
 
 def test_upload_holds_its_source_while_its_sink_is_full() -> None:
     source, sink = Side(), Side()
-    upload = Upload(source, -1, [b"ab"])
-    upload.attach(sink)
+    request_stream = RequestStream(source, -1, [b"ab"])
+    request_stream.attach(sink)
     sink.full = True
-    upload.add(b"x" * (64 * 1024))
+    request_stream.add(b"x" * (64 * 1024))
     assert sink.written == b"2\r\nab\r\n" and not source.paused
-    upload.add(b"y")
+    request_stream.add(b"y")
     assert source.paused
     sink.full = False
-    upload.flush()
-    assert not source.paused and not upload.passed
-    upload.end()
-    assert upload.passed and sink.written.endswith(b"y\r\n0\r\n\r\n")
+    request_stream.flush()
+    assert not source.paused and not request_stream.passed
+    request_stream.end()
+    assert request_stream.passed and sink.written.endswith(b"y\r\n0\r\n\r\n")
 
 
 def test_upload_that_nobody_wants_is_thrown_away() -> None:
     source = Side()
-    upload = Upload(source, 1 << 20, [])
-    upload.add(b"x" * 70_000)
+    request_stream = RequestStream(source, 1 << 20, [])
+    request_stream.add(b"x" * 70_000)
     assert source.paused
-    upload.drop()
+    request_stream.drop()
     assert not source.paused
-    upload.add(b"x" * 70_000)
-    assert not source.paused and upload.all() == []
+    request_stream.add(b"x" * 70_000)
+    assert not source.paused and request_stream.all() == []
 
 
 @pytest.mark.parametrize("length", [4, -1])
 def test_last_byte_of_an_upload_whose_client_has_gone_is_not_written(length: int) -> None:
     source, sink = Side(), Side()
-    upload = Upload(source, length, [b"ab"])
-    upload.attach(sink)
+    request_stream = RequestStream(source, length, [b"ab"])
+    request_stream.attach(sink)
     before, source.gone = sink.written, True
-    upload.add(b"c")
-    upload.add(b"d")
-    upload.end()
+    request_stream.add(b"c")
+    request_stream.add(b"d")
+    request_stream.end()
     written = sink.written[len(before) :]
-    assert not upload.passed and written == (b"c" if length > 0 else b"1\r\nc\r\n1\r\nd\r\n")
+    assert not request_stream.passed and written == (b"c" if length > 0 else b"1\r\nc\r\n1\r\nd\r\n")
 
 
 def test_stream_leaves_its_source_reading_once_it_is_over() -> None:
     source, reader = Side(), Side()
-    stream = Stream(source, 5)
+    stream = ResponseStream(source, 5)
     stream.attach(reader)
     stream.feed([b"he", b"llo"])
     stream.wait()
@@ -389,18 +396,18 @@
 def test_exchange_reads_chunks_cut_anywhere_and_knows_that_it_is_clean(size: int) -> None:
     raw = b"HTTP/1.1 200 OK \r\nServer-Load:  util=0.5 \r\nTransfer-Encoding: \t chunked \r\n\r\n"
     raw += b"".join(http.chunk([LONG[:3000]], False)) + b"0\r\n\r\n"
-    exchange = Exchange()
+    exchange = ResponseParser()
     for at in range(0, len(raw), size):
         exchange.feed(raw[at : at + size])
     assert exchange.complete and exchange.clean
-    reply = exchange.reply()
+    reply = exchange.response()
     assert b"".join(reply.body or []) == LONG[:3000] and reply.load == {"utilisation": 0.5}
 
 
 def test_answer_without_a_length_has_to_announce_its_end() -> None:
-    exchange = Exchange()
-    with pytest.raises(UnsoundError):
+    exchange = ResponseParser()
+    with pytest.raises(InvalidResponseError):
         exchange.feed(b"HTTP/1.1 200 OK\r\nServer-Load: util=1\r\n\r\nbody")
-    exchange = Exchange()
+    exchange = ResponseParser()
     exchange.feed(b"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nbody")
     assert not exchange.complete and exchange.ends_here() and not exchange.clean
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from indigokeel.structures.choice import by_chance, by_key, van_der_corput
-from indigokeel.structures.sums import hash64
+from indigokeel.balancing.statistics import hash64
+from indigokeel.balancing.weighted_choice import by_chance, by_key, van_der_corput
 
 
 @dataclass(frozen=True)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -21,10 +21,10 @@
     Raw,
     echo,
     entry,
-    job,
-    machine_list,
     ok,
+    parse_endpoint_list,
     read_answer,
+    request,
     running,
     status,
     until,
@@ -34,15 +34,15 @@
 # What the client has sent behind its request: with the last two its connection is not read any more.
 BEHIND = {
     "nothing": b"",
-    "one": job("pay", b"behind"),
-    "too many ahead": b"".join(job("pay", b"behind") for _ in range(600)),
-    "long body": job("pay", b"behind" * 15_000),
+    "one": request("pay", b"behind"),
+    "too many ahead": b"".join(request("pay", b"behind") for _ in range(600)),
+    "long body": request("pay", b"behind" * 15_000),
 }
 Leave = Callable[[socket.socket], None]
 
 
-def total(nodes: list[Peer]) -> int:
-    return sum(len(node.got) for node in nodes)
+def total(upstreams: list[Peer]) -> int:
+    return sum(len(upstream.got) for upstream in upstreams)
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -61,49 +61,49 @@
         let.wait(WAIT)
         return echo(message) if message.body == b"end" else first
 
-    with running(tmp_path, script, script) as (program, nodes, _), program.connect() as conn:
-        conn.sendall(job("view") + BEHIND[behind])
-        until(lambda: total(nodes) >= 1)
+    with running(tmp_path, script, script) as (program, upstreams, _), program.connect() as conn:
+        conn.sendall(request("view") + BEHIND[behind])
+        until(lambda: total(upstreams) >= 1)
         program.counters()
-        before = total(nodes)  # a second one may have been sent beside the first
+        before = total(upstreams)  # a second one may have been sent beside the first
         leave(conn)
         let.set()
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
-        assert program.ask(job("pay", b"end"))[1].body == b"end"
-        until(lambda: program.counters()["owed"] == 0)
-        assert total(nodes) == before + 1
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
+        assert program.ask(request("pay", b"end"))[1].body == b"end"
+        until(lambda: program.counters()["requests_unanswered"] == 0)
+        assert total(upstreams) == before + 1
 
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_second_attempt_beside_the_first(tmp_path: Path, leave: Leave, behind: str) -> None:
     """A hedged request: the second attempt would be sent while the first is out."""
-    node, other = Held(), Held()
-    with running(tmp_path, node, other) as (program, nodes, _), program.connect() as conn:
-        conn.sendall(job("view", wait_ms=1200) + BEHIND[behind])
-        until(lambda: total(nodes) == 1)
+    upstream, other = Held(), Held()
+    with running(tmp_path, upstream, other) as (program, upstreams, _), program.connect() as conn:
+        conn.sendall(request("view", wait_ms=1200) + BEHIND[behind])
+        until(lambda: total(upstreams) == 1)
         leave(conn)
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
-        before = total(nodes)
-        until(lambda: program.counters().get("claim_given_up", 0) == before)  # its time is over
-        assert total(nodes) == before
-        for held in (node, other):
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
+        before = total(upstreams)
+        until(lambda: program.counters().get("attempt_cancelled", 0) == before)  # its time is over
+        assert total(upstreams) == before
+        for held in (upstream, other):
             held.let.set()
 
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_first_attempt_where_there_was_no_upstream(tmp_path: Path, leave: Leave, behind: str) -> None:
-    node = Peer(echo)
+    upstream = Peer(echo)
     with running(tmp_path) as (program, _, discovery), program.connect() as conn:
-        conn.sendall(job("view", wait_ms=60_000) + BEHIND[behind])
-        until(lambda: program.counters().get("jobs_taken", 0) == 1)
+        conn.sendall(request("view", wait_ms=60_000) + BEHIND[behind])
+        until(lambda: program.counters().get("requests_accepted", 0) == 1)
         leave(conn)
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
-        discovery.push(json.dumps(machine_list(entry("s-0", node.port), index=2)).encode())
-        until(lambda: program.ask(job("pay", b"end"))[0] == 200)
-        assert {message.body for message in node.got} == {b"end"}
-    node.close()
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
+        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=2)).encode())
+        until(lambda: program.ask(request("pay", b"end"))[0] == 200)
+        assert {message.body for message in upstream.got} == {b"end"}
+    upstream.close()
 
 
 @pytest.mark.parametrize("leave", LEAVING)
@@ -112,7 +112,7 @@
     the upstream took little, so that nothing was read of that."""
     size, left, whole = 16 << 20, threading.Event(), []
 
-    def talk(conn: socket.socket, file: Any) -> None:
+    def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         taken = 0
@@ -123,15 +123,15 @@
                 conn.sendall(ok())
             left.wait(0.01)
 
-    with running(tmp_path, Raw(talk), settings=SETTINGS) as (program, _, _d):
+    with running(tmp_path, Raw(exchange), settings=SETTINGS) as (program, _, _d):
         conn = program.connect()
         with contextlib.suppress(ConnectionError):
-            conn.sendall(job("pay", b"x" * size))
+            conn.sendall(request("pay", b"x" * size))
             leave(conn)
         left.set()
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
-        until(lambda: program.counters()["node_connections_open"] == 0)
-        assert whole == [] and program.counters()["owed"] == 0
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
+        until(lambda: program.counters()["upstream_connections_open"] == 0)
+        assert whole == [] and program.counters()["requests_unanswered"] == 0
         conn.close()
 
 
@@ -139,7 +139,7 @@
     with running(tmp_path, echo) as (program, _, _d):
         for behind in BEHIND.values():
             with program.connect() as conn:
-                sender = threading.Thread(target=conn.sendall, args=(job("view") + behind,))
+                sender = threading.Thread(target=conn.sendall, args=(request("view") + behind,))
                 sender.start()
                 file = conn.makefile("rb")
                 for _ in range(1 + behind.count(b"HTTP/1.1")):
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -16,15 +16,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from indigokeel import handover
-from indigokeel.cordons import Mark
-from indigokeel.handover import Learned, Moment
-from indigokeel.learned import OFFSET
-from indigokeel.machine_list import Machine, MachineList
-from indigokeel.net import clocks
-from indigokeel.start_times import StartsSnapshot, StartTimes
+from indigokeel import clocks
+from indigokeel.endpoints.cordons import CordonRecord
+from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
+from indigokeel.endpoints.start_times import StartsSnapshot, StartTimes
+from indigokeel.hot_restart import snapshot
+from indigokeel.hot_restart.learned_state import OFFSET
+from indigokeel.hot_restart.snapshot import ClockReading, LearnedState
 from tests import faulty_program, peers
-from tests.peers import WAIT, Discovery, Peer, Program, echo, entry, job, machine_list, operators
+from tests.peers import (
+    WAIT,
+    DiscoveryClient,
+    Peer,
+    Program,
+    echo,
+    entry,
+    operators,
+    parse_endpoint_list,
+    request,
+)
 
 NOW = 1_000_000.0  # clock time
 UNIX = 1_700_000_000.0  # the true Unix time just then
@@ -145,29 +155,37 @@
 
 # --- what one process leaves for the next -----------------------------------------------------------------
 
-MARKS = (Mark("s-0", True, NOW - 100.0, sequence=7), Mark("s-1", False, NOW - 10.0, sequence=9))
-ENDS = Mark("s-2", True, NOW - 50.0, "release", NOW + 60.0, 8)
-KNOWN = MachineList(7, True, (Machine("s-0", "127.0.0.1", 1000, "z", "m", 1),))
+MARKS = (
+    CordonRecord("s-0", True, NOW - 100.0, sequence=7),
+    CordonRecord("s-1", False, NOW - 10.0, sequence=9),
+)
+ENDS = CordonRecord("s-2", True, NOW - 50.0, "release", NOW + 60.0, 8)
+KNOWN = EndpointList(7, True, (Endpoint("s-0", "127.0.0.1", 1000, "z", "m", 1),))
 STARTS = StartsSnapshot(NOW - 1.0, {"s-0": (UNIX - 5.0, NOW - 5.0)})
-LEFT = handover.encode(
-    Moment(NOW, "b1", OFFSET_S), [*MARKS, ENDS], KNOWN, Learned({"x": 1}, NOW - 2.0), STARTS
+LEFT = snapshot.encode(
+    ClockReading(NOW, "b1", OFFSET_S), [*MARKS, ENDS], KNOWN, LearnedState({"x": 1}, NOW - 2.0), STARTS
 )
 
 
 @pytest.mark.parametrize("step", [-HOUR, 0.0, HOUR])
 def test_state_of_the_same_boot_is_read_as_it_was_whatever_the_wall_clock_does(step: float) -> None:
-    found = handover.decode(LEFT, Moment(NOW + 3.0, "b1", OFFSET_S - step))
-    assert found == handover.Handover((*MARKS, ENDS), KNOWN, Learned({"x": 1}, NOW - 2.0), STARTS)
+    found = snapshot.decode(LEFT, ClockReading(NOW + 3.0, "b1", OFFSET_S - step))
+    assert found == snapshot.StateSnapshot((*MARKS, ENDS), KNOWN, LearnedState({"x": 1}, NOW - 2.0), STARTS)
 
 
 @pytest.mark.parametrize(
     "here",
-    [Moment(30.0, "b2"), Moment(30.0, ""), Moment(NOW + 30.0, "b2"), Moment(NOW - 30.0, "b1")],
+    [
+        ClockReading(30.0, "b2"),
+        ClockReading(30.0, ""),
+        ClockReading(NOW + 30.0, "b2"),
+        ClockReading(NOW - 30.0, "b1"),
+    ],
     ids=["booted", "booted-unknown", "booted-long-ago", "other-clock"],
 )
-def test_after_a_boot_cordons_stay_and_ages_are_unknown(here: Moment) -> None:
-    found = handover.decode(LEFT, here)
-    out, back, ends = found.marks
+def test_after_a_boot_cordons_stay_and_ages_are_unknown(here: ClockReading) -> None:
+    found = snapshot.decode(LEFT, here)
+    out, back, ends = found.records
     assert (out.who, out.out, out.until, out.sequence) == ("s-0", True, math.inf, 7) and out.holds(here.clock)
     assert (back.out, back.at) == (False, here.clock - 10.0)
     assert ends.until == here.clock + 60.0  # what was left as it was written
@@ -189,15 +207,15 @@
 @pytest.mark.parametrize("step", [-HOUR, 0.0, 1.0, HOUR])
 def test_state_of_the_older_program_is_read_and_its_cordons_kept(step: float) -> None:
     """Also where the wall clock says that it is from the future."""
-    here = Moment(50.0, "b1", 50.0 - (1001.0 + step))
-    found = handover.decode(FIRST_FORM, here)
-    assert [(m.who, m.out, m.sequence) for m in found.marks] == [
+    here = ClockReading(50.0, "b1", 50.0 - (1001.0 + step))
+    found = snapshot.decode(FIRST_FORM, here)
+    assert [(m.who, m.out, m.sequence) for m in found.records] == [
         ("s-0", True, 900_000_000),
         ("s-1", False, 990_000_000),
         ("s-2", True, 950_000_000),
     ]
-    assert found.marks[0].holds(here.clock) and found.known == KNOWN
-    assert all(mark.at <= here.clock for mark in found.marks) and found.learned is not None
+    assert found.records[0].holds(here.clock) and found.known == KNOWN
+    assert all(mark.at <= here.clock for mark in found.records) and found.learned is not None
     assert found.learned.figures[OFFSET] == here.unix_to_clock
     assert found.learned.at == pytest.approx(min(here.clock - 1.0 - step, here.clock))
 
@@ -216,13 +234,15 @@
 @contextlib.contextmanager
 def site(
     tmp: Path, monkeypatch: pytest.MonkeyPatch, count: int, since: Callable[[int], int] = lambda _: 0
-) -> Iterator[tuple[Callable[..., Program], list[Peer], Discovery]]:
+) -> Iterator[tuple[Callable[..., Program], list[Peer], DiscoveryClient]]:
     """Upstreams, and a call that starts a process with faults round it beside those before. The processes
     share the folder ``state``."""
     monkeypatch.setattr(peers, "start", faulty_program.start)
     (tmp / "state").mkdir()
-    upstreams, discovery, programs = [Peer(echo) for _ in range(count)], Discovery(), list[Program]()
-    known = machine_list(*(entry(f"s-{i}", peer.port, since_ms=since(i)) for i, peer in enumerate(upstreams)))
+    upstreams, discovery, programs = [Peer(echo) for _ in range(count)], DiscoveryClient(), list[Program]()
+    known = parse_endpoint_list(
+        *(entry(f"s-{i}", peer.port, since_ms=since(i)) for i, peer in enumerate(upstreams))
+    )
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
 
         def start(**env: Any) -> Program:
@@ -253,8 +273,8 @@
         assert old.process.wait(WAIT) == 0
         had = len(upstreams[0].got)
         for _ in range(40):
-            assert new.ask(job())[0] == 200
-        assert len(upstreams[0].got) == had and "handovers_unread" not in new.counters()
+            assert new.ask(request())[0] == 200
+        assert len(upstreams[0].got) == had and "state_files_unreadable" not in new.counters()
 
 
 def test_state_is_written_on_though_the_wall_clock_went_back_and_while_the_process_ends(
@@ -272,7 +292,7 @@
             before = names()
             peers.until(lambda old=before: not old & names())  # type: ignore[misc]
         with program.connect():  # kept while it stands idle, as any connection is
-            peers.until(lambda: program.counters()["submitter_connections_open"] == 1)
+            peers.until(lambda: program.counters()["client_connections_open"] == 1)
             program.process.terminate()
             peers.until(lambda: "stopping" in program.log.read_text())
             ending = names()
@@ -292,7 +312,7 @@
 def _share(program: Program, upstream: Peer, requests: int) -> float:
     had = len(upstream.got)
     for number in range(requests):
-        assert program.ask(job(key=f"k{number}"))[0] == 200
+        assert program.ask(request(key=f"k{number}"))[0] == 200
     return (len(upstream.got) - had) / requests
 
 
@@ -313,9 +333,11 @@
 ) -> None:
     with site(tmp_path, monkeypatch, 5) as (start, upstreams, discovery):
         program = start(FAULT_WALL_STEP_S=str(step))
-        whole = machine_list(*(entry(f"s-{i}", peer.port) for i, peer in enumerate(upstreams)), index=2)
+        whole = parse_endpoint_list(
+            *(entry(f"s-{i}", peer.port) for i, peer in enumerate(upstreams)), index=2
+        )
         discovery.push(json.dumps(whole).encode())
         change = entry("s-0", upstreams[0].port, since_ms=int(time.time() * 1000))
-        discovery.push(json.dumps(machine_list(change, index=3, whole=False)).encode())
-        peers.until(lambda: program.counters().get("machine_lists") == 2)
+        discovery.push(json.dumps(parse_endpoint_list(change, index=3, whole=False)).encode())
+        peers.until(lambda: program.counters().get("endpoint_lists") == 2)
         assert _share(program, upstreams[0], 250) < 0.12
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -1,4 +1,4 @@
-"""The operators' layer over the machine list, and what one process leaves for the next. No I/O."""
+"""The operators' layer over the endpoint list, and what one process leaves for the next. No I/O."""
 
 from __future__ import annotations
 
@@ -14,111 +14,116 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from indigokeel import handover
-from indigokeel.cordons import Cordons, Mark
-from indigokeel.decision.interface import State
-from indigokeel.facade import Facade
-from indigokeel.handover import HandoverError, Learned, Moment
-from indigokeel.machine_list import Machine, MachineList, entry, machine_list
-from indigokeel.net.handover_file import HandoverFiles
-from indigokeel.orders import Job, Orders, Outcome
+from indigokeel.balancing.events import AttemptOutcome, EndpointState
+from indigokeel.endpoints.cordons import CordonRecord, Cordons
+from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList, entry, parse_endpoint_list
+from indigokeel.hot_restart import snapshot
+from indigokeel.hot_restart.snapshot import ClockReading, LearnedState, SnapshotError
+from indigokeel.hot_restart.state_files import StateFiles
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Effects, Request
 from tests.conftest import make_settings
 
 NOW = 1_000_000.0
-HERE = Moment(NOW, "boot")  # the clock and the boot of the tests' machine
-NODES = tuple(Machine(f"s-{i}", "127.0.0.1", 1000 + i, cell=1) for i in range(3))
+HERE = ClockReading(NOW, "boot")  # the clock and the boot of the tests' machine
+NODES = tuple(Endpoint(f"s-{i}", "127.0.0.1", 1000 + i, replica_group=1) for i in range(3))
 
 
-def _facade() -> Facade:
-    facade = Facade(make_settings(), 1, 0.0)
-    facade.listed(NOW, MachineList(1, True, NODES), cached=True)
-    return facade
+def _coordinator() -> RequestCoordinator:
+    coordinator = RequestCoordinator(make_settings(), 1, 0.0)
+    coordinator.update_endpoints(NOW, EndpointList(1, True, NODES), cached=True)
+    return coordinator
 
 
-def _sent(facade: Facade, now: float, count: int = 60) -> set[str]:
-    """Where some jobs went."""
-    nodes = set()
+def _sent(coordinator: RequestCoordinator, now: float, count: int = 60) -> set[str]:
+    """Where some requests went."""
+    upstreams = set()
     for number in range(count):
-        orders = facade.pick(now, Job(f"{now}-{number}", "view", 1.0))
-        nodes |= {claim.node for claim in orders.claims}
-        facade.report(now, orders.claims[0], Outcome.SERVED)
-    return nodes
+        effects = coordinator.pick(now, Request(f"{now}-{number}", "view", 1.0))
+        upstreams |= {attempt.upstream for attempt in effects.attempts}
+        coordinator.report(now, effects.attempts[0], AttemptOutcome.OK)
+    return upstreams
 
 
 def test_cordoned_node_stays_out_whatever_lists_say() -> None:
-    facade = _facade()
-    orders = facade.cordon(NOW, "s-1")
-    assert orders is not None and orders.close_idle == ["s-1"]
-    assert facade.cordon(NOW, "s-1") is not None  # two calls out ...
+    coordinator = _coordinator()
+    effects = coordinator.cordon(NOW, "s-1")
+    assert effects is not None and effects.close_idle == ["s-1"]
+    assert coordinator.cordon(NOW, "s-1") is not None  # two calls out ...
     moved = replace(NODES[1], port=2000, since=NOW + 1.0)
     for news in (
-        MachineList(2, True, NODES),
-        MachineList(3, False, (moved,)),
-        MachineList(4, False, (replace(NODES[1], state=State.GONE),)),
-        MachineList(5, False, (moved,)),
+        EndpointList(2, True, NODES),
+        EndpointList(3, False, (moved,)),
+        EndpointList(4, False, (replace(NODES[1], state=EndpointState.GONE),)),
+        EndpointList(5, False, (moved,)),
     ):
-        facade.listed(NOW + 1.0, news)
-        assert facade.address("s-1") is None
-    assert _sent(facade, NOW + 1.0) == {"s-0", "s-2"}
-    assert facade.uncordon(NOW + 2.0, "s-1") is not None  # ... need one back
-    assert facade.address("s-1") == ("127.0.0.1", 2000)
-    assert _sent(facade, NOW + 2.0) == {"s-0", "s-1", "s-2"}
+        coordinator.update_endpoints(NOW + 1.0, news)
+        assert coordinator.address("s-1") is None
+    assert _sent(coordinator, NOW + 1.0) == {"s-0", "s-2"}
+    assert coordinator.uncordon(NOW + 2.0, "s-1") is not None  # ... need one back
+    assert coordinator.address("s-1") == ("127.0.0.1", 2000)
+    assert _sent(coordinator, NOW + 2.0) == {"s-0", "s-1", "s-2"}
 
 
-def _started(facade: Facade) -> dict[str, float]:
-    """When the decisions take each node to have started."""
-    return {name: upstream.member.started for name, upstream in facade._balancer.known()[1].items()}
+def _started(coordinator: RequestCoordinator) -> dict[str, float]:
+    """When the decisions take each upstream to have started."""
+    return {
+        name: upstream.member.started for name, upstream in coordinator._balancer.learned_figures()[1].items()
+    }
 
 
 def test_word_that_is_not_new_costs_the_module_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against the list laid out anew with each file that another process leaves, once a second."""
-    facade = _facade()
-    facade.cordon(NOW, "s-1")
-    monkeypatch.setattr(facade._balancer, "handle", None)
-    for orders in (facade.merge(NOW, facade.cordons.marks()), facade.cordon(NOW, "s-1")):
-        assert orders == Orders()
+    coordinator = _coordinator()
+    coordinator.cordon(NOW, "s-1")
+    monkeypatch.setattr(coordinator._balancer, "handle", None)
+    for effects in (
+        coordinator.merge_cordons(NOW, coordinator.cordons.records()),
+        coordinator.cordon(NOW, "s-1"),
+    ):
+        assert effects == Effects()
 
 
 def test_claim_picked_before_the_cordon_is_not_begun_after_it() -> None:
-    facade = _facade()
-    claim = facade.pick(NOW, Job("j", "view", 1.0)).claims[0]
-    facade.cordon(NOW, claim.node)
-    assert not facade.begin(NOW, claim)
+    coordinator = _coordinator()
+    attempt = coordinator.pick(NOW, Request("j", "view", 1.0)).attempts[0]
+    coordinator.cordon(NOW, attempt.upstream)
+    assert not coordinator.may_begin(NOW, attempt)
 
 
 def test_ids_that_nobody_has_get_a_no_and_vanished_ones_a_yes() -> None:
-    facade = _facade()
-    assert facade.cordon(NOW, "s-9") is None and facade.uncordon(NOW, "s-9") is None
-    facade.cordon(NOW, "s-0")
-    facade.listed(NOW, MachineList(2, True, NODES[1:]))
-    assert facade.uncordon(NOW, "s-0") is not None
+    coordinator = _coordinator()
+    assert coordinator.cordon(NOW, "s-9") is None and coordinator.uncordon(NOW, "s-9") is None
+    coordinator.cordon(NOW, "s-0")
+    coordinator.update_endpoints(NOW, EndpointList(2, True, NODES[1:]))
+    assert coordinator.uncordon(NOW, "s-0") is not None
     # Back in the list it serves: the mark does not come alive again.
-    facade.listed(NOW, MachineList(3, True, NODES))
-    assert facade.address("s-0") is not None
+    coordinator.update_endpoints(NOW, EndpointList(3, True, NODES))
+    assert coordinator.address("s-0") is not None
 
 
 def test_node_given_back_is_cold_and_warms_up() -> None:
-    facade = _facade()
-    facade.listed(NOW, MachineList(1, True, NODES))
-    facade.cordon(NOW, "s-0")
-    facade.uncordon(NOW + 3.0, "s-0")
-    assert _started(facade) == {"s-0": NOW + 3.0, "s-1": 0.0, "s-2": 0.0}
-    facade.listed(NOW + 10.0, MachineList(2, False, (replace(NODES[0], since=NOW + 9.0),)))
-    assert _started(facade)["s-0"] == NOW + 9.0
+    coordinator = _coordinator()
+    coordinator.update_endpoints(NOW, EndpointList(1, True, NODES))
+    coordinator.cordon(NOW, "s-0")
+    coordinator.uncordon(NOW + 3.0, "s-0")
+    assert _started(coordinator) == {"s-0": NOW + 3.0, "s-1": 0.0, "s-2": 0.0}
+    coordinator.update_endpoints(NOW + 10.0, EndpointList(2, False, (replace(NODES[0], since=NOW + 9.0),)))
+    assert _started(coordinator)["s-0"] == NOW + 9.0
 
 
 def test_mark_with_an_end_ends_by_itself() -> None:
-    facade = _facade()
-    orders = facade.merge(NOW, [Mark("s-0", True, NOW, "release", NOW + 5.0)])
-    assert isinstance(orders, Orders) and facade.address("s-0") is None
-    assert facade.due() == NOW + 5.0
-    facade.tick(NOW + 5.0)
-    assert facade.address("s-0") is not None
+    coordinator = _coordinator()
+    effects = coordinator.merge_cordons(NOW, [CordonRecord("s-0", True, NOW, "release", NOW + 5.0)])
+    assert isinstance(effects, Effects) and coordinator.address("s-0") is None
+    assert coordinator.next_deadline() == NOW + 5.0
+    coordinator.tick(NOW + 5.0)
+    assert coordinator.address("s-0") is not None
 
 
 _marks = st.lists(
     st.builds(
-        Mark,
+        CordonRecord,
         st.sampled_from(["a", "b"]),
         st.booleans(),
         st.just(1.0),
@@ -129,36 +134,39 @@
 
 
 @given(_marks, _marks)
-def test_processes_agree_once_they_have_exchanged_their_marks(left: list[Mark], right: list[Mark]) -> None:
+def test_processes_agree_once_they_have_exchanged_their_marks(
+    left: list[CordonRecord], right: list[CordonRecord]
+) -> None:
     one, two = Cordons(), Cordons()
     one.merge(left)
     two.merge(right)
-    one.merge(two.marks())
-    assert one.lacks(two.marks()) == ({m.who: m for m in one.marks()} != {m.who: m for m in two.marks()})
-    two.merge(one.marks())
-    assert not two.lacks(one.marks())
-    assert {m.who: m for m in one.marks()} == {m.who: m for m in two.marks()}
-    assert one.merge(two.marks()) == []
+    one.merge(two.records())
+    theirs = {record.who: record for record in two.records()}
+    assert one.lacks(two.records()) == ({record.who: record for record in one.records()} != theirs)
+    two.merge(one.records())
+    assert not two.lacks(one.records())
+    assert {m.who: m for m in one.records()} == {m.who: m for m in two.records()}
+    assert one.merge(two.records()) == []
 
 
 def test_later_call_wins_though_the_clock_went_back() -> None:
     one, two = Cordons(), Cordons()
     one.cordon("s", 100.0)
-    two.merge(one.marks())
+    two.merge(one.records())
     two.uncordon("s", 50.0)
-    one.merge(two.marks())
+    one.merge(two.records())
     assert not one.holds("s", 100.0)
 
 
-MARK = Mark("s-0", True, NOW - 1.0, sequence=3)
-LEFT = handover.encode(HERE, [MARK], MachineList(7, True, NODES), Learned({"a": 1}, NOW - 2.0))
+MARK = CordonRecord("s-0", True, NOW - 1.0, sequence=3)
+LEFT = snapshot.encode(HERE, [MARK], EndpointList(7, True, NODES), LearnedState({"a": 1}, NOW - 2.0))
 
 
 def test_handover_comes_back_as_it_was() -> None:
-    left = Learned({"a": 1}, NOW - 2.0)
-    assert handover.decode(LEFT, HERE) == handover.Handover((MARK,), MachineList(7, True, NODES), left)
-    old = handover.encode(HERE, [Mark("a", False, NOW - 700.0), Mark("b", True, NOW - 700.0)])
-    assert [mark.who for mark in handover.decode(old, HERE).marks] == ["b"]
+    left = LearnedState({"a": 1}, NOW - 2.0)
+    assert snapshot.decode(LEFT, HERE) == snapshot.StateSnapshot((MARK,), EndpointList(7, True, NODES), left)
+    old = snapshot.encode(HERE, [CordonRecord("a", False, NOW - 700.0), CordonRecord("b", True, NOW - 700.0)])
+    assert [mark.who for mark in snapshot.decode(old, HERE).records] == ["b"]
 
 
 def _forged(body: bytes, version: int = 1) -> bytes:
@@ -187,7 +195,7 @@
         LEFT.replace(b"s-0", b"s-9", 1),
         LEFT.replace(b"handover 1", b"handover 2", 1),
         b"#!/bin/sh\n",
-        b"x" * (handover.MOST + 1),
+        b"x" * (snapshot.MOST + 1),
         _forged(b"[]"),
         _forged(b"{}"),
         _forged(b'{"marks":[{}]}'),
@@ -206,54 +214,67 @@
     ],
 )
 def test_handover_that_is_not_sound_is_refused(data: bytes) -> None:
-    with pytest.raises(HandoverError):
-        handover.decode(data, HERE)
+    with pytest.raises(SnapshotError):
+        snapshot.decode(data, HERE)
 
 
-@given(st.builds(
-    Machine, st.text(min_size=1), st.sampled_from(["127.0.0.1", "::1"]), st.integers(1, 65535), st.text(),
-    st.text(), st.integers(-1, 9), st.sampled_from([State.SERVING, State.DRAINING]), st.floats(0.0, 9.0),
-    st.integers(0, 2_000_000_000_000).map(lambda ms: ms / 1000.0),
-))  # fmt: skip
-def test_machine_is_read_as_it_was_written(machine: Machine) -> None:
-    """To the bit: a start that differs at all would make the node one that has started since."""
-    data = orjson.loads(orjson.dumps(entry(machine)))
-    assert machine_list({"index": 1, "snapshot": True, "endpoints": [data]}).machines == (machine,)
+@given(
+    st.builds(
+        Endpoint,
+        st.text(min_size=1),
+        st.sampled_from(["127.0.0.1", "::1"]),
+        st.integers(1, 65535),
+        st.text(),
+        st.text(),
+        st.integers(-1, 9),
+        st.sampled_from([EndpointState.SERVING, EndpointState.DRAINING]),
+        st.floats(0.0, 9.0),
+        st.integers(0, 2_000_000_000_000).map(lambda ms: ms / 1000.0),
+    )
+)
+def test_machine_is_read_as_it_was_written(endpoint: Endpoint) -> None:
+    """To the bit: a start that differs at all would make the upstream one that has started since."""
+    data = orjson.loads(orjson.dumps(entry(endpoint)))
+    assert parse_endpoint_list({"index": 1, "snapshot": True, "endpoints": [data]}).endpoints == (endpoint,)
 
 
 def test_forged_handover_of_the_right_shape_is_read() -> None:
     listed = _forged(b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"Ready"}],' + _REST)
-    assert handover.decode(listed, HERE).known == MachineList(1, True, (Machine("a", "h", 1),))
-    marks = handover.decode(_forged(_MARK % b"1"), HERE).marks
-    assert marks == (Mark("a", True, 1.0, "x", math.inf, 1_000_000),)
+    assert snapshot.decode(listed, HERE).known == EndpointList(1, True, (Endpoint("a", "h", 1),))
+    marks = snapshot.decode(_forged(_MARK % b"1"), HERE).records
+    assert marks == (CordonRecord("a", True, 1.0, "x", math.inf, 1_000_000),)
 
 
 # --- what was learnt --------------------------------------------------------------------------------------
 
 
-def _busy(facade: Facade) -> None:
-    """Jobs of which one node is slow, and busy by its reports, and one fails."""
+def _busy(coordinator: RequestCoordinator) -> None:
+    """Requests of which one upstream is slow, and busy by its reports, and one fails."""
     for number in range(300):
         now = NOW + number * 0.01
-        orders = facade.pick(now, Job(f"b{number}", "view", 1.0, key=f"k{number % 7}"))
-        if not orders.claims:
+        effects = coordinator.pick(now, Request(f"b{number}", "view", 1.0, key=f"k{number % 7}"))
+        if not effects.attempts:
             continue
-        claim = orders.claims[0]
-        slow = {"s-0": 0.3, "s-1": 0.02, "s-2": 0.05}[claim.node]
-        outcome = Outcome.ERROR if claim.node == "s-2" and number > 150 else Outcome.SERVED
-        facade.report(now + slow, claim, outcome, {"rate": 10.0, "utilisation": slow * 2})
-        facade.left(now + slow, claim.job)
+        attempt = effects.attempts[0]
+        slow = {"s-0": 0.3, "s-1": 0.02, "s-2": 0.05}[attempt.upstream]
+        outcome = AttemptOutcome.ERROR if attempt.upstream == "s-2" and number > 150 else AttemptOutcome.OK
+        coordinator.report(now + slow, attempt, outcome, {"rate": 10.0, "utilisation": slow * 2})
+        coordinator.client_disconnected(now + slow, attempt.request)
 
 
 def test_next_process_starts_from_what_was_learnt() -> None:
-    old, new = _facade(), Facade(make_settings(), 2, 500.0)  # the wall clock was set between the two
+    old, new = (
+        _coordinator(),
+        RequestCoordinator(make_settings(), 2, 500.0),
+    )  # the wall clock was set between the two
     _busy(old)
     now = NOW + 3.0
-    new.listed(now, MachineList(1, True, NODES), cached=True)
-    data = handover.encode(Moment(now, "boot"), [], None, Learned(old.learned(now), now))
-    left = handover.decode(data, Moment(now + 1.0, "boot")).learned
-    assert left is not None and left.at == now and new.learn(now, left.figures).notes == []
-    before, after = old.learned(now), new.learned(now)
+    new.update_endpoints(now, EndpointList(1, True, NODES), cached=True)
+    learned = LearnedState(old.export_learned_state(now), now)
+    data = snapshot.encode(ClockReading(now, "boot"), [], None, learned)
+    left = snapshot.decode(data, ClockReading(now + 1.0, "boot")).learned
+    assert left is not None and left.at == now and new.restore_learned_state(now, left.figures).notes == []
+    before, after = old.export_learned_state(now), new.export_learned_state(now)
     assert before is not None and after is not None
     assert after["classes"] == before["classes"] and sorted(after["keys"]) == sorted(before["keys"])
     assert after["capacity"] == before["capacity"]
@@ -264,12 +285,12 @@
 
 
 def test_node_that_has_started_since_is_not_judged_by_what_was() -> None:
-    old, new = _facade(), Facade(make_settings(), 2, 0.0)
+    old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 0.0)
     _busy(old)
     again = (replace(NODES[0], since=NOW + 2.0), *NODES[1:])
-    new.listed(NOW + 3.0, MachineList(2, True, again), cached=True)
-    new.learn(NOW + 3.0, old.learned(NOW + 3.0))
-    after = new.learned(NOW + 3.0)
+    new.update_endpoints(NOW + 3.0, EndpointList(2, True, again), cached=True)
+    new.restore_learned_state(NOW + 3.0, old.export_learned_state(NOW + 3.0))
+    after = new.export_learned_state(NOW + 3.0)
     assert after is not None
     assert after["nodes"]["s-0"][2:] == [None, None, None] and after["nodes"]["s-1"][2] is not None
 
@@ -289,25 +310,28 @@
     ],
 )
 def test_what_nobody_can_have_learnt_is_told_and_harmless(spoil: dict[str, object]) -> None:
-    facade = _facade()
-    sound = facade.learned(NOW)
-    assert sound is not None and facade.learn(NOW, sound).notes == []
-    notes = facade.learn(NOW, {**sound, **spoil}).notes
+    coordinator = _coordinator()
+    sound = coordinator.export_learned_state(NOW)
+    assert sound is not None and coordinator.restore_learned_state(NOW, sound).notes == []
+    notes = coordinator.restore_learned_state(NOW, {**sound, **spoil}).notes
     assert len(notes) == 1 and notes[0].startswith("what the process before had learnt is not used")
-    assert facade.learn(NOW, None).notes and facade.learn(NOW, []).notes
-    assert _sent(facade, NOW + 1.0)
+    assert (
+        coordinator.restore_learned_state(NOW, None).notes
+        and coordinator.restore_learned_state(NOW, []).notes
+    )
+    assert _sent(coordinator, NOW + 1.0)
 
 
 # --- the files --------------------------------------------------------------------------------------------
 
 
 def test_processes_read_each_others_files_once_and_keep_one_each(tmp_path: Path) -> None:
-    one, two = HandoverFiles(str(tmp_path), "n/0"), HandoverFiles(str(tmp_path), "n/0")
+    one, two = StateFiles(str(tmp_path), "n/0"), StateFiles(str(tmp_path), "n/0")
     for _ in range(3):
         one.write(LEFT)
     assert one.fresh(NOW) == [] and len(os.listdir(tmp_path)) == 1
     (name,) = two.fresh(NOW)
-    assert two.read(name, HERE) == handover.decode(LEFT, HERE) and two.fresh(NOW) == []
+    assert two.read(name, HERE) == snapshot.decode(LEFT, HERE) and two.fresh(NOW) == []
     two.write(LEFT)
     assert len(os.listdir(tmp_path)) == 2 and len(one.fresh(NOW)) == 1
     assert two.read("indigokeel-n_0.handover.9-9", HERE) is None  # gone meanwhile
@@ -315,7 +339,7 @@
 
 def test_files_of_processes_that_are_gone_go_once_they_were_read_and_stood_for_long(tmp_path: Path) -> None:
     """Their age is that of this process's own looks: no clock that another set is asked."""
-    files = HandoverFiles(str(tmp_path), "n0")
+    files = StateFiles(str(tmp_path), "n0")
     prefix = "indigokeel-n0.handover."
     foreign = tmp_path / "indigokeel-n1.handover.3-3"
     left = [tmp_path / (prefix + tail) for tail in ("5-5", f"{time.time_ns()}-6", "7-7~")]
@@ -339,7 +363,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     (tmp_path / f"indigokeel-n0.handover.{time.time_ns()}-1").write_bytes(LEFT)  # of an older version
-    one, two, reader = (HandoverFiles(str(tmp_path), "n0") for _ in range(3))
+    one, two, reader = (StateFiles(str(tmp_path), "n0") for _ in range(3))
     monkeypatch.setattr(os, "getpid", lambda: 8)
     one.fresh(NOW)
     one.write(LEFT)
@@ -362,7 +386,7 @@
 
     monkeypatch.setattr(Path, "replace", None)
     monkeypatch.setattr(Path, "rename", watched)
-    files = HandoverFiles(str(tmp_path), "n0")
+    files = StateFiles(str(tmp_path), "n0")
     for _ in range(5):
         files.write(LEFT)
     assert targets == [False] * 5
@@ -370,5 +394,5 @@
 
 def test_folder_that_cannot_be_written_is_an_error_and_leaves_nothing(tmp_path: Path) -> None:
     with pytest.raises(OSError):
-        HandoverFiles(str(tmp_path / "none"), "n0").write(LEFT)
-    assert HandoverFiles(str(tmp_path / "none"), "n0").fresh(NOW) == []
+        StateFiles(str(tmp_path / "none"), "n0").write(LEFT)
+    assert StateFiles(str(tmp_path / "none"), "n0").fresh(NOW) == []
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from indigokeel.net.counters import Counters
-from indigokeel.net.submitters import Desk, Session
-from tests.peers import Message, Program, job, ok, read_answer, running, status, until
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_connection import ClientConnection, Handler
+from tests.peers import Message, Program, ok, read_answer, request, running, status, until
 from tests.test_endings import BIG, LEAVING, Fake, standing
 
 SOCKETS = 64  # of these, 17 for clients
@@ -47,19 +47,25 @@
 ) -> None:
     """The request and the end of its stream are both here when the loop gets to them: the request was read
     first, and sent on at once."""
-    with running(tmp_path, lambda message: ok(message.body)) as (program, (node,), _):
+    with running(tmp_path, lambda message: ok(message.body)) as (program, (upstream,), _):
         conn = program.connect()
-        conn.sendall(job("pay", b"0"))
+        conn.sendall(request("pay", b"0"))
         assert read_answer(conn.makefile("rb"))[0] == 200
-        until(lambda: program.counters()["node_connections_idle"] == 1)  # the attempt need not wait for one
+        until(
+            lambda: program.counters()["upstream_connections_idle"] == 1
+        )  # the attempt need not wait for one
         with stopped(program):
-            conn.sendall(job("pay", b"1"))
+            conn.sendall(request("pay", b"1"))
             leave(conn)
-        until(lambda: program.counters()["submitter_connections_open"] == 0)
-        assert program.ask(job("pay", b"2"))[1].body == b"2"
-        assert [message.body for message in node.got] == [b"0", b"2"]
+        until(lambda: program.counters()["client_connections_open"] == 0)
+        assert program.ask(request("pay", b"2"))[1].body == b"2"
+        assert [message.body for message in upstream.got] == [b"0", b"2"]
         counters = program.counters()
-        assert (counters["owed"], counters["claims_waiting"], counters.get("session_faults", 0)) == (0, 0, 0)
+        assert (
+            counters["requests_unanswered"],
+            counters["attempts_waiting"],
+            counters.get("client_connection_faults", 0),
+        ) == (0, 0, 0)
         conn.close()
 
 
@@ -74,18 +80,18 @@
         let.wait(20.0)
         return status(503, "Not-Started: 1\r\n")
 
-    with running(tmp_path, full, full) as (program, nodes, _):
+    with running(tmp_path, full, full) as (program, upstreams, _):
         conn = program.connect()
-        conn.sendall(job("view"))
-        until(lambda: sum(len(node.got) for node in nodes) == 1)
-        held = next(node for node in nodes if node.got)
+        conn.sendall(request("view"))
+        until(lambda: sum(len(upstream.got) for upstream in upstreams) == 1)
+        held = next(upstream for upstream in upstreams if upstream.got)
         with stopped(program):
             let.set()
             until(lambda: held.answered == 1)
             leave(conn)
-        until(lambda: program.counters()["submitter_connections_open"] == 0)
-        assert sum(len(node.got) for node in nodes) == 1
-        assert program.counters()["owed"] == 0
+        until(lambda: program.counters()["client_connections_open"] == 0)
+        assert sum(len(upstream.got) for upstream in upstreams) == 1
+        assert program.counters()["requests_unanswered"] == 0
         conn.close()
 
 
@@ -103,7 +109,7 @@
         conn.settimeout(20.0)
         conn.connect(program.address)
         conn.setblocking(False)
-        conn.send(job("pay", b"1", more="Connection: close\r\n"))
+        conn.send(request("pay", b"1", more="Connection: close\r\n"))
         until(lambda: program.counters().get("answers_written", 0) == 1)
         with contextlib.suppress(BlockingIOError):
             while True:
@@ -112,7 +118,7 @@
         for _ in range(CLIENTS + 3):
             other = program.connect()
             others.append(other)
-            other.sendall(job("pay", b"2"))
+            other.sendall(request("pay", b"2"))
             assert read_answer(other.makefile("rb"))[1].body == BIG
         conn.settimeout(20.0)
         code, answer = read_answer(conn.makefile("rb"))
@@ -124,14 +130,14 @@
 def test_half_a_message_that_has_to_go_is_told_first(tmp_path: Path) -> None:
     """Its sender may be about to write the last byte: a close without a word would lose that request."""
     with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _nodes, _d):
-        whole = [job("pay", b"%d" % number) for number in range(CLIENTS)]
+        whole = [request("pay", b"%d" % number) for number in range(CLIENTS)]
         halves = [program.connect() for _ in whole]
         for conn, message in zip(halves, whole, strict=True):
             conn.sendall(message[:-1])
-        until(lambda: program.counters()["submitter_connections_open"] >= CLIENTS)
+        until(lambda: program.counters()["client_connections_open"] >= CLIENTS)
         time.sleep(0.6)  # they have not grown for so long; longer does no harm
         for number in range(5):
-            assert program.ask(job("pay", b"x%d" % number))[1].body == b"x%d" % number
+            assert program.ask(request("pay", b"x%d" % number))[1].body == b"x%d" % number
         told = 0
         for conn, message in zip(halves, whole, strict=True):
             with contextlib.suppress(OSError):
@@ -140,7 +146,7 @@
             assert code == 200 and answer.body in message or code in (408, 503)
             told += code != 200
             conn.close()
-        assert told > 0 and program.counters()["owed"] == 0
+        assert told > 0 and program.counters()["requests_unanswered"] == 0
 
 
 class Counted(Fake):
@@ -148,13 +154,13 @@
 
     asked = 0
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         Counted.asked += 1
-        return super().idle()
+        return super().is_idle()
 
-    def unwritten(self) -> bool:
+    def has_unwritten_output(self) -> bool:
         Counted.asked += 1
-        return super().unwritten()
+        return super().has_unwritten_output()
 
 
 @pytest.mark.parametrize(
@@ -162,7 +168,11 @@
     [
         ([Counted(idle=0.1) for _ in range(500)], [Counted(idle=1.0)], []),
         ([Counted(stuck=0.1) for _ in range(500)], [Counted(idle=3.0)], []),
-        ([Counted(idle=1.0) for _ in range(500)], [], [Counted(unwritten=True) for _ in range(500)]),
+        (
+            [Counted(idle=1.0) for _ in range(500)],
+            [],
+            [Counted(has_unwritten_output=True) for _ in range(500)],
+        ),
     ],
 )
 def test_making_room_asks_the_system_a_few_times_however_many_there_are(
@@ -170,19 +180,19 @@
 ) -> None:
     connections = standing(newcomers, workers, ending, came=0.0)
     newest = Counted()
-    connections.joined(newest, 0.2)
+    connections.connection_opened(newest, 0.2)
     Counted.asked = 0
     for now in (0.2, 0.25, 0.9):
-        connections.to_close(newest, now)
+        connections.select_eviction(newest, now)
     assert Counted.asked <= 60
 
 
 class _Desk:
     """The sidecar, as far as a session that reads half a message asks it."""
 
-    behind = closing = False
+    overloaded = closing = False
 
-    def joined(self, session: Session) -> None:
+    def connection_opened(self, session: ClientConnection) -> None:
         self.session = session
 
 
@@ -194,13 +204,13 @@
 def test_message_whose_last_byte_is_here_unread_does_not_stand_still() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        session = Session(cast(Desk, _Desk()), Counters("n0"))
+        session = ClientConnection(cast(Handler, _Desk()), Counters("n0"))
         session.connection_made(_Transport(ours))
         session.data_received(b"GET /view/k1 HT")
         late = time.monotonic() + 10.0
-        assert session.stuck_for(late) > 9.0 and not session.unread()
+        assert session.stalled_for(late) > 9.0 and not session.has_unread_input()
         theirs.sendall(b"TP/1.1\r\n\r\n")
-        assert session.stuck_for(late) == 0.0 and session.unread()
+        assert session.stalled_for(late) == 0.0 and session.has_unread_input()
 
 
 def test_crowd_beyond_the_descriptors_leaves_true_requests_their_answers(tmp_path: Path) -> None:
@@ -211,14 +221,16 @@
             conn = program.connect()
             crowd.append(conn)
             if number % 3 == 1:
-                conn.sendall(job("pay", b"half")[:-2])
+                conn.sendall(request("pay", b"half")[:-2])
             elif number % 3 == 2:
-                conn.sendall(job("view"))
-            answer = program.ask(job("pay", b"%d" % number))
+                conn.sendall(request("view"))
+            answer = program.ask(request("pay", b"%d" % number))
             assert (answer[0], answer[1].body) == (200, b"%d" % number)
         counters = program.counters()
-        assert counters["submitter_connections_open"] <= CLIENTS + 12  # what the reserve has for them
+        assert counters["client_connections_open"] <= CLIENTS + 12  # what the reserve has for them
         assert counters.get("descriptors_run_out", 0) == 0
-        until(lambda: program.counters()["owed"] == 0)  # the crowd's last request may be at work
+        until(
+            lambda: program.counters()["requests_unanswered"] == 0
+        )  # the crowd's last request may be at work
         for conn in crowd:
             conn.close()
--- a/tests/test_cycles.py
+++ b/tests/test_cycles.py
@@ -1,4 +1,4 @@
-"""Nodes that come and go for hours leave the books where they were. The clock is passed in."""
+"""Upstreams that come and go for hours leave the books where they were. The clock is passed in."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections import deque
 from random import Random
 
-from indigokeel.decision import interface as api
-from indigokeel.facade import Facade
-from indigokeel.machine_list import Machine, MachineList
-from indigokeel.orders import Job, Outcome
+from indigokeel.balancing.events import AttemptOutcome, EndpointState
+from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Request
 from tests.conftest import make_settings
 
 
@@ -34,40 +34,54 @@
 
 
 def test_nodes_come_and_gone_leave_the_books_where_they_were() -> None:
-    """Every cycle replaces each of 30 nodes by one of a new name, in a pod of a new number, at an address
-    that another had; jobs are served, fail, time out and are left meanwhile, and the watch breaks."""
+    """Every cycle replaces each of 30 upstreams by one of a new name, in a pod of a new number, at an address
+    that another had; requests are served, fail, time out and are left meanwhile, and the watch breaks."""
     random, now = Random(7), 1000.0
-    facade = Facade(make_settings(ask_membership=True, warm_keys=True), 7, 0.0)
-    listed: deque[Machine] = deque()
+    coordinator = RequestCoordinator(make_settings(polls_membership=True, key_affinity=True), 7, 0.0)
+    listed: deque[Endpoint] = deque()
     sizes: list[int] = []
-    jobs = 0
+    requests = 0
     for cycle in range(160):
         fresh = [
-            Machine(f"s-{cycle}-{n}", "127.0.0.1", 3000 + n, "z", f"k{n % 3}", cycle * 5 + n // 6, since=now)
+            Endpoint(f"s-{cycle}-{n}", "127.0.0.1", 3000 + n, "z", f"k{n % 3}", cycle * 5 + n // 6, since=now)
             for n in range(30)
         ]
-        gone = [Machine(m.name, m.host, m.port, m.zone, m.kind, m.cell, state=api.State.GONE) for m in listed]
+        gone = [
+            Endpoint(m.name, m.host, m.port, m.zone, m.kind, m.replica_group, state=EndpointState.GONE)
+            for m in listed
+        ]
         whole = cycle % 3 == 0
-        facade.listed(now, MachineList(cycle, whole, tuple(fresh if whole else [*gone, *fresh])))
+        coordinator.update_endpoints(
+            now, EndpointList(cycle, whole, tuple(fresh if whole else [*gone, *fresh]))
+        )
         listed = deque(fresh)
         for _ in range(40):
             now += 0.05
-            jobs += 1
-            job = Job(f"j{jobs}", random.choice(("view", "pay", "order")), 1.0, key=f"key{jobs}")
-            claims = facade.pick(now, job).claims
-            while claims:
+            requests += 1
+            request = Request(
+                f"j{requests}", random.choice(("view", "pay", "order")), 1.0, key=f"key{requests}"
+            )
+            attempts = coordinator.pick(now, request).attempts
+            while attempts:
                 ending = random.choice(
-                    (Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.TIMED_OUT)
+                    (
+                        AttemptOutcome.OK,
+                        AttemptOutcome.ERROR,
+                        AttemptOutcome.REJECTED,
+                        AttemptOutcome.TIMED_OUT,
+                    )
                 )
-                claims = facade.report(now, claims[0], ending, {"rate": 9.0, "utilisation": 0.5}).claims
-            if jobs % 7 == 0:
-                facade.left(now, job.id)
-            facade.tick(now)
-        facade.list_failed(now)
+                attempts = coordinator.report(
+                    now, attempts[0], ending, {"rate": 9.0, "utilisation": 0.5}
+                ).attempts
+            if requests % 7 == 0:
+                coordinator.client_disconnected(now, request.id)
+            coordinator.tick(now)
+        coordinator.endpoint_watch_failed(now)
         now += 20.0
-        facade.tick(now)
+        coordinator.tick(now)
         if cycle in (60, 159):
             gc.collect()
-            sizes.append(held(facade))
-    assert facade.owed == 0
+            sizes.append(held(coordinator))
+    assert coordinator.unanswered == 0
     assert sizes[1] < sizes[0] * 1.05, sizes
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,8 +17,8 @@
 import pytest
 
 from indigokeel.config import load_config
-from indigokeel.net import sidecar
-from indigokeel.net.client_connections import ClientConnections
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.process import sidecar
 from tests.peers import (
     SETTINGS,
     WAIT,
@@ -27,10 +27,10 @@
     Program,
     echo,
     entry,
-    job,
-    machine_list,
     ok,
+    parse_endpoint_list,
     read_answer,
+    request,
     running,
     until,
 )
@@ -40,7 +40,7 @@
 
 
 class Held(Peer):
-    """A node that answers nothing until it is let."""
+    """An upstream that answers nothing until it is let."""
 
     def __init__(self, script: Callable[[Message], bytes] = echo) -> None:
         self.let = threading.Event()
@@ -76,33 +76,33 @@
 # --- bytes that are unread when a connection ends -----------------------------------------------------------
 
 
-@pytest.mark.parametrize("behind", [job(), b"noise" * 4, b"x" * 150_000, job() * 12])
+@pytest.mark.parametrize("behind", [request(), b"noise" * 4, b"x" * 150_000, request() * 12])
 def test_last_answer_arrives_whole_over_bytes_that_are_not_read(tmp_path: Path, behind: bytes) -> None:
     """A close over unread bytes resets the connection, and the answer goes with it. The bytes are here
-    before the answer is: the node is held until then."""
-    with running(tmp_path, Held(lambda _: ok(BIG))) as (program, (node,), _), program.connect() as conn:
-        conn.sendall(job("pay", b"1", more="Connection: close\r\n"))
-        until(lambda: len(node.got) == 1)
+    before the answer is: the upstream is held until then."""
+    with running(tmp_path, Held(lambda _: ok(BIG))) as (program, (upstream,), _), program.connect() as conn:
+        conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
+        until(lambda: len(upstream.got) == 1)
         sender = threading.Thread(target=conn.sendall, args=(behind,))
         sender.start()
         sender.join(WAIT)
         program.counters()
-        node.let.set()  # type: ignore[attr-defined]
+        upstream.let.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
         code, answer = read_answer(file)
         assert (code, answer.body) == (200, BIG) and answer.headers["connection"] == "close"
-        assert file.read() == b"" and len(node.got) == 1
-        until(lambda: program.counters()["submitter_connections_open"] == 1)  # the counters' own has gone
+        assert file.read() == b"" and len(upstream.got) == 1
+        until(lambda: program.counters()["client_connections_open"] == 1)  # the counters' own has gone
 
 
 @pytest.mark.parametrize("size", [0, 1, 100_000, 200_000])
 def test_word_on_what_is_refused_arrives_behind_a_flood(tmp_path: Path, size: int) -> None:
-    with running(tmp_path, echo) as (program, nodes, _):
+    with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(b"garbage\r\n\r\n" + b"x" * size)
             file = conn.makefile("rb")
             assert read_answer(file)[0] == 400 and file.read() == b""
-        assert nodes[0].got == [] and program.ask(job())[0] == 200
+        assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
 
 def test_flood_without_an_end_is_told_and_left_and_costs_no_memory(tmp_path: Path) -> None:
@@ -121,8 +121,8 @@
         for one in floods:
             one.join(WAIT)
             assert not one.is_alive()
-        until(lambda: program.counters()["submitter_connections_open"] <= 1)
-        assert program.ask(job())[0] == 200 and program.counters()["messages_malformed"] == 8
+        until(lambda: program.counters()["client_connections_open"] <= 1)
+        assert program.ask(request())[0] == 200 and program.counters()["messages_malformed"] == 8
         for conn in conns:
             conn.close()
 
@@ -130,54 +130,57 @@
 def test_nothing_that_comes_after_the_own_end_is_taken(tmp_path: Path) -> None:
     """A connection that rests is ended, by the shutdown; its client writes when it reads the end, and rests
     on. Nothing of that is parsed or sent on, and the shutdown does not wait for that client for good."""
-    with running(tmp_path, echo) as (program, nodes, _), program.connect() as conn:
-        conn.sendall(job())
+    with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
+        conn.sendall(request())
         file = conn.makefile("rb")
         assert read_answer(file)[0] == 200
         program.process.send_signal(signal.SIGTERM)
         assert file.read() == b""
         with contextlib.suppress(OSError):
-            conn.sendall(job("pay", b"late"))
+            conn.sendall(request("pay", b"late"))
         assert program.process.wait(WAIT) == 0
         counters = program.last_counters()
-        assert len(nodes[0].got) == 1 and (counters["jobs_taken"], counters["owed"]) == (1, 0)
+        assert len(upstreams[0].got) == 1 and (
+            counters["requests_accepted"],
+            counters["requests_unanswered"],
+        ) == (1, 0)
 
 
 class Fake:
-    """A connection as ``ClientConnections`` sees it."""
+    """A connection as ``ClientRegistry`` sees it."""
 
-    def __init__(self, idle: float = 0.0, stuck: float = 0.0, unwritten: bool = False) -> None:
-        self._idle, self._stuck, self._unwritten = idle, stuck, unwritten
+    def __init__(self, idle: float = 0.0, stuck: float = 0.0, has_unwritten_output: bool = False) -> None:
+        self._idle, self._stuck, self._unwritten = idle, stuck, has_unwritten_output
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return self._idle > 0.0
 
     def idle_for(self, now: float) -> float:
         return self._idle
 
-    def stuck_for(self, now: float) -> float:
+    def stalled_for(self, now: float) -> float:
         return self._stuck
 
-    def unwritten(self) -> bool:
+    def has_unwritten_output(self) -> bool:
         return self._unwritten
 
 
 def standing(
     newcomers: list[Fake], workers: list[Fake], ending: list[Fake], came: float = -10.0
-) -> ClientConnections[Fake]:
+) -> ClientRegistry[Fake]:
     """The books of these, which are as many as may be."""
-    connections: ClientConnections[Fake] = ClientConnections(1024, len(newcomers + workers + ending))
+    connections: ClientRegistry[Fake] = ClientRegistry(1024, len(newcomers + workers + ending))
     for connection in (*newcomers, *workers, *ending):
-        connections.joined(connection, came)
-        assert not connections.too_many()
+        connections.connection_opened(connection, came)
+        assert not connections.is_over_limit()
     for connection in workers:
-        connections.brought(connection)
+        connections.request_received(connection)
     for connection in ending:
-        connections.ending(connection)
+        connections.connection_closing(connection)
     return connections
 
 
-_LAST_WORD, _UNREAD, _OLD, _YOUNG = Fake(), Fake(unwritten=True), Fake(idle=1.0), Fake(idle=0.1)
+_LAST_WORD, _UNREAD, _OLD, _YOUNG = Fake(), Fake(has_unwritten_output=True), Fake(idle=1.0), Fake(idle=0.1)
 _STUCK, _BUSY, _RESTING, _RECENT = Fake(stuck=0.6), Fake(), Fake(idle=3.0), Fake(idle=0.5)
 
 
@@ -198,12 +201,12 @@
 ) -> None:
     connections = standing(newcomers, workers, ending)
     newest = Fake()
-    connections.joined(newest, 0.0)
-    assert connections.too_many()
-    assert connections.to_close(newest, 0.0) is (goes or newest)
+    connections.connection_opened(newest, 0.0)
+    assert connections.is_over_limit()
+    assert connections.select_eviction(newest, 0.0) is (goes or newest)
     for connection in list(connections):
-        connections.gone(connection)
-    assert len(connections) == 0 and not connections.crowded()
+        connections.connection_closed(connection)
+    assert len(connections) == 0 and not connections.is_crowded()
 
 
 # --- a client that leaves while its request waits ---------------------------------------------------------
@@ -221,11 +224,11 @@
 @pytest.mark.parametrize(
     "behind",
     [
-        job("pay", b"2"),
-        job("pay", b"2") + b"noise\r\n\r\n",  # an error is noted behind it
-        job("pay", b"2") * 9,  # too many ahead
-        job("pay", LONG_BODY),  # its body is not read on
-        job("pay", b"2") + job("pay", LONG_BODY),
+        request("pay", b"2"),
+        request("pay", b"2") + b"noise\r\n\r\n",  # an error is noted behind it
+        request("pay", b"2") * 9,  # too many ahead
+        request("pay", LONG_BODY),  # its body is not read on
+        request("pay", b"2") + request("pay", LONG_BODY),
     ],
 )
 def test_request_whose_client_left_behind_an_earlier_one_is_not_sent_on(
@@ -233,10 +236,10 @@
 ) -> None:
     """While the reader was stopped nobody was told that the client had left, and what it had sent ahead was
     sent on, one after the other."""
-    with running(tmp_path, Held()) as (program, (node,), _):
+    with running(tmp_path, Held()) as (program, (upstream,), _):
         conn = program.connect()
-        conn.sendall(job("pay", b"1"))
-        until(lambda: len(node.got) == 1)
+        conn.sendall(request("pay", b"1"))
+        until(lambda: len(upstream.got) == 1)
 
         def send() -> None:
             with contextlib.suppress(OSError):
@@ -246,13 +249,13 @@
         sender.start()
         sender.join(0.3)  # a long one is held up, for nothing of it is read
         leave(conn)
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
-        node.let.set()  # type: ignore[attr-defined]
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
+        upstream.let.set()  # type: ignore[attr-defined]
         sender.join(WAIT)
-        assert program.ask(job("pay", b"3"))[1].body == b"3"
-        assert [message.body for message in node.got] == [b"1", b"3"]
+        assert program.ask(request("pay", b"3"))[1].body == b"3"
+        assert [message.body for message in upstream.got] == [b"1", b"3"]
         counters = program.counters()
-        assert (counters["owed"], counters.get("session_faults", 0)) == (0, 0)
+        assert (counters["requests_unanswered"], counters.get("client_connection_faults", 0)) == (0, 0)
         conn.close()
 
 
@@ -260,29 +263,29 @@
 def test_requests_whose_clients_leave_in_a_burst_are_not_sent_on(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    """There is no node, so they wait; all leave at once, and then there is one."""
-    with running(tmp_path, echo, sockets=1024) as (program, (node,), discovery):
+    """There is no upstream, so they wait; all leave at once, and then there is one."""
+    with running(tmp_path, echo, sockets=1024) as (program, (upstream,), discovery):
         until(lambda: bool(discovery.watches))
-        discovery.push(json.dumps(machine_list(index=2)).encode())
+        discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
         until(lambda: program.ask(HEALTH)[0] == 503)
         conns = [program.connect() for _ in range(200)]
         for conn in conns:
-            conn.sendall(job(wait_ms=60_000))
-        until(lambda: program.counters().get("jobs_taken", 0) == 200)
+            conn.sendall(request(wait_ms=60_000))
+        until(lambda: program.counters().get("requests_accepted", 0) == 200)
         for conn in conns:
             leave(conn)
-        until(lambda: program.counters().get("submitters_left", 0) == 200)
-        discovery.push(json.dumps(machine_list(entry("s-0", node.port), index=3)).encode())
-        assert program.ask(job("pay", b"x"))[1].body == b"x"
-        assert [message.body for message in node.got] == [b"x"]
-        assert program.counters()["owed"] == 0
+        until(lambda: program.counters().get("clients_disconnected", 0) == 200)
+        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
+        assert program.ask(request("pay", b"x"))[1].body == b"x"
+        assert [message.body for message in upstream.got] == [b"x"]
+        assert program.counters()["requests_unanswered"] == 0
         for conn in conns:
             conn.close()
 
 
 @contextlib.contextmanager
 def deaf() -> Iterator[tuple[socket.socket, Callable[[], None]]]:
-    """A node to which no connection comes up until the second value is called."""
+    """An upstream to which no connection comes up until the second value is called."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener, contextlib.ExitStack() as stack:
         fillers = [stack.enter_context(socket.socket()) for _ in range(4)]
         for filler in fillers:
@@ -303,21 +306,21 @@
     settings = {**sum_up(pay=120.0), "limits": {**SETTINGS["limits"], "connect-timeout-s": 60.0}}
     with (
         deaf() as (listener, hear),
-        running(tmp_path, echo, settings=settings) as (program, (node,), discovery),
+        running(tmp_path, echo, settings=settings) as (program, (upstream,), discovery),
     ):
         until(lambda: bool(discovery.watches))
         late = entry("s-9", listener.getsockname()[1])
-        discovery.push(json.dumps(machine_list(late, index=2)).encode())
-        until(lambda: program.counters().get("machine_lists") == 1)
+        discovery.push(json.dumps(parse_endpoint_list(late, index=2)).encode())
+        until(lambda: program.counters().get("endpoint_lists") == 1)
         conn = program.connect()
-        conn.sendall(job("pay", b"1", wait_ms=100_000))
-        until(lambda: program.counters()["claims_waiting"] == 1)
+        conn.sendall(request("pay", b"1", wait_ms=100_000))
+        until(lambda: program.counters()["attempts_waiting"] == 1)
         leave(conn)
-        until(lambda: program.counters().get("submitters_left", 0) == 1)
+        until(lambda: program.counters().get("clients_disconnected", 0) == 1)
         hear()
-        assert program.counters()["claims_waiting"] == 0
-        discovery.push(json.dumps(machine_list(entry("s-0", node.port), index=3)).encode())
-        until(lambda: program.ask(job("pay", b"2"))[0] == 200)
+        assert program.counters()["attempts_waiting"] == 0
+        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
+        until(lambda: program.ask(request("pay", b"2"))[0] == 200)
         # What came up late, if anything did, carries nothing.
         listener.settimeout(1.5)
         with contextlib.suppress(TimeoutError):
@@ -326,7 +329,7 @@
                 came.settimeout(0.2)
                 with contextlib.suppress(TimeoutError, ConnectionResetError):
                     assert came.recv(100) == b""
-        assert program.counters()["owed"] == 0
+        assert program.counters()["requests_unanswered"] == 0
         conn.close()
 
 
@@ -342,7 +345,7 @@
         conn.connect(program.address)
         rounds = 12
         for number in range(1, rounds + 1):
-            conn.sendall(b"".join(job("pay", b"x") for _ in range(8)))
+            conn.sendall(b"".join(request("pay", b"x") for _ in range(8)))
             until(lambda: program.counters().get("answers_written", 0) == 8 * number)  # noqa: B023
         program.process.send_signal(signal.SIGTERM)
         with contextlib.suppress(Exception):  # the old program is gone by then
@@ -359,27 +362,27 @@
 ) -> None:
     """SIGKILL comes 3 s and 0.7 s after SIGTERM where the longest deadline is over 3 s: a request that was
     taken for a minute has its one answer before that, whether its attempt hangs or it has none."""
-    with running(tmp_path, Held(), settings=sum_up(pay=60.0)) as (program, (node,), discovery):
+    with running(tmp_path, Held(), settings=sum_up(pay=60.0)) as (program, (upstream,), discovery):
         if not sent:
             until(lambda: bool(discovery.watches))
-            discovery.push(json.dumps(machine_list(index=2)).encode())
+            discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
             until(lambda: program.ask(HEALTH)[0] == 503)
         with program.connect() as conn:
-            conn.sendall(job("pay", b"1", wait_ms=60_000))
-            until(lambda: program.counters().get("jobs_taken", 0) == 1)
-            until(lambda: len(node.got) == int(sent))
+            conn.sendall(request("pay", b"1", wait_ms=60_000))
+            until(lambda: program.counters().get("requests_accepted", 0) == 1)
+            until(lambda: len(upstream.got) == int(sent))
             program.process.send_signal(signal.SIGTERM)
             file = conn.makefile("rb")
             code, answer = read_answer(file)
             assert code == (500 if sent else 503) and answer.headers["connection"] == "close"
             assert file.read() == b"" and program.process.wait(WAIT) == 0
-            assert program.last_counters()["owed"] == 0
+            assert program.last_counters()["requests_unanswered"] == 0
 
 
 def test_request_in_the_moment_of_each_step_of_the_end_has_one_answer_or_none_taken(tmp_path: Path) -> None:
     """Clients that send and rest in turn, over and over, through the whole shutdown: each request is either
     answered whole, or its connection ended with none of it sent on."""
-    with running(tmp_path, echo) as (program, (node,), _):
+    with running(tmp_path, echo) as (program, (upstream,), _):
         wrong: list[object] = []
         answered: list[bytes] = []
         ready = threading.Barrier(9)
@@ -390,7 +393,7 @@
             for turn in range(10**6):
                 body = b"%d-%d" % (number, turn)
                 try:
-                    conn.sendall(job("pay", body))
+                    conn.sendall(request("pay", body))
                     code, answer = read_answer(file)
                 except OSError:  # the end, between two requests
                     break
@@ -414,19 +417,19 @@
         for one in clients:
             one.join(WAIT)
         assert program.process.wait(WAIT) == 0 and wrong == []
-        assert sorted(answered) == sorted(message.body for message in node.got)
-        assert program.last_counters()["owed"] == 0
+        assert sorted(answered) == sorted(message.body for message in upstream.got)
+        assert program.last_counters()["requests_unanswered"] == 0
 
 
 def test_second_sigterm_changes_nothing(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
-        conn.sendall(job("pay", b"1"))
-        until(lambda: len(node.got) == 1)
+    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+        conn.sendall(request("pay", b"1"))
+        until(lambda: len(upstream.got) == 1)
         for _ in range(3):
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
         until(lambda: "stopping" in program.log.read_text())
-        node.let.set()  # type: ignore[attr-defined]
+        upstream.let.set()  # type: ignore[attr-defined]
         assert read_answer(conn.makefile("rb"))[1].body == b"1"
         assert program.process.wait(WAIT) == 0
 
@@ -439,7 +442,7 @@
     with running(tmp_path, echo, settings=PUSHED, discovery=agent, wait=False) as (program, _, _d):
         until(program.ready)
         with program.connect() as conn:
-            conn.sendall(job(wait_ms=1000))
+            conn.sendall(request(wait_ms=1000))
             _taken(program, 1)
             program.process.send_signal(signal.SIGTERM)
             assert read_answer(conn.makefile("rb"))[0] in (200, 503)
@@ -448,7 +451,7 @@
 
 
 def _taken(program: Program, count: int) -> None:
-    until(lambda: program.counters().get("jobs_taken", 0) == count)
+    until(lambda: program.counters().get("requests_accepted", 0) == count)
 
 
 def test_message_whose_last_byte_comes_as_the_process_ends_is_answered(
@@ -456,9 +459,9 @@
 ) -> None:
     """Half a message may become whole for a moment after the listener has gone. Its last byte comes here when
     that moment is over and the loop has not read it: before the last look at what is owed."""
-    node = Peer(echo)
+    upstream = Peer(echo)
     config = tmp_path / "config.json"
-    known = machine_list(entry("s-0", node.port))
+    known = parse_endpoint_list(entry("s-0", upstream.port))
     addresses = {"listen": "127.0.0.1:3000", "discovery": "127.0.0.1:1"}  # neither is used
     config.write_text(json.dumps({"name": "n0", **addresses, "known": known, "settings": SETTINGS}))
     monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
@@ -467,7 +470,7 @@
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as conn:
         listener.setblocking(False)
         conn.settimeout(WAIT)
-        message = job("pay", b"last")
+        message = request("pay", b"last")
         sent = 0
 
         def late(self: sidecar.Sidecar) -> bool:
@@ -489,4 +492,4 @@
         asyncio.run(play())
         code, answer = read_answer(conn.makefile("rb"))
         assert sent == 1 and (code, answer.body) == (200, b"last")
-    node.close()
+    upstream.close()
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -17,15 +17,16 @@
 import pytest
 import uvloop
 
+from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.config import decode_settings
-from indigokeel.facade import Facade
-from indigokeel.machine_list import machine_list
-from indigokeel.net.connections import Link, NoConnection
-from indigokeel.net.counters import Counters
+from indigokeel.endpoints.endpoint_list import parse_endpoint_list
+from indigokeel.metrics import Counters
 from indigokeel.net.errors import Meaning, Step, meaning
-from indigokeel.net.exchange import Task
-from indigokeel.net.pool import Pool
-from indigokeel.orders import Job, Outcome
+from indigokeel.net.messages import OutboundRequest
+from indigokeel.net.upstream import ConnectFailure, UpstreamConnection
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Request
 from tests import peers
 from tests.test_connections import Echo, World
 
@@ -136,9 +137,9 @@
         world.until(lambda: not world.connections.waiting())
         world.step(2)
     monkeypatch.undo()
-    came_up = sum(isinstance(link, Link) for link in world.ready)
+    came_up = sum(isinstance(connection, UpstreamConnection) for connection in world.ready)
     assert came_up == (0 if found is UPSTREAM else 6)
-    assert world.counts["circuits_opened"] == (found is UPSTREAM)
+    assert world.counts["circuit_breakers_opened"] == (found is UPSTREAM)
     assert bool(world.counts["connects_failed"]) == (found is UPSTREAM)
     world.agrees()
 
@@ -150,77 +151,83 @@
     """And blames nobody, also where a connect began at last and had no time left."""
     break_open("connect", number, 10**6, monkeypatch)
     world.borrow(patience=0.03)
-    world.until(lambda: world.ready == [NoConnection.LOCAL])
+    world.until(lambda: world.ready == [ConnectFailure.LOCAL])
     monkeypatch.undo()
     break_open("connect", number, 2, monkeypatch)
     world.borrow("silent", 0.1)
     world.until(lambda: len(world.ready) == 2)
-    assert world.ready[1] is NoConnection.LOCAL and not world.counts["connects_failed"]
+    assert world.ready[1] is ConnectFailure.LOCAL and not world.counts["connects_failed"]
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
 def test_bytes_are_whole_and_in_order_over_calls_that_fail(
     world: World, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    link = world.link()
+    connection = world.connection()
     world.accept()
-    peer, echo, got = world.accepted[0], link.conversation, bytearray()
+    peer, echo, got = world.accepted[0], connection.handler, bytearray()
     assert isinstance(echo, Echo)
     peer.setblocking(False)
     pieces = [bytes([i % 251]) * 301 for i in range(5000)]  # more than a system takes in one call
     monkeypatch.setattr("os.writev", faulty(os.writev, number, 5))
-    assert link.say(pieces)
+    assert connection.say(pieces)
     while len(got) < 301 * 5000:
         world.step()
         with contextlib.suppress(BlockingIOError):
             got += peer.recv(1 << 20)
-    assert got == b"".join(pieces) and not link.spent()
+    assert got == b"".join(pieces) and not connection.spent()
     monkeypatch.setattr(socket.socket, "recv", faulty(socket.socket.recv, number, 5))
     peer.send(b"heard")
     world.until(lambda: echo.heard_all == b"heard")
     assert echo.ended == 0 and not world.counts["connection_faults"]
 
 
-def play(scripts: int, work: Callable[[Pool, Facade, Counters], Any]) -> tuple[Any, list[peers.Peer]]:
+def play(
+    scripts: int, work: Callable[[UpstreamClient, RequestCoordinator, Counters], Any]
+) -> tuple[Any, list[peers.Peer]]:
     """Run something on a pool before upstreams that serve."""
-    nodes = [peers.Peer(peers.echo) for _ in range(scripts)]
-    facade, counters = Facade(decode_settings(peers.SETTINGS), 1, 0.0), Counters("t")
-    entries = [peers.entry(f"s-{i}", node.port) for i, node in enumerate(nodes)]
-    facade.listed(0.0, machine_list(peers.machine_list(*entries)))
+    upstreams = [peers.Peer(peers.echo) for _ in range(scripts)]
+    coordinator, counters = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0), Counters("t")
+    entries = [peers.entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)]
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
 
     async def inside() -> Any:
-        return await work(Pool(facade, counters, 0.25, 30.0, 32), facade, counters)
+        return await work(UpstreamClient(coordinator, counters, 0.25, 30.0, 32), coordinator, counters)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         found = runner.run(inside())
-    for node in nodes:
-        node.close()
-    return found, nodes
+    for upstream in upstreams:
+        upstream.close()
+    return found, upstreams
 
 
-async def attempt(pool: Pool, facade: Facade, name: str, body: list[bytes]) -> Outcome:
+async def attempt(
+    pool: UpstreamClient, coordinator: RequestCoordinator, name: str, body: list[bytes]
+) -> AttemptOutcome:
     """One attempt at a request of an unsafe class."""
-    claim = facade.pick(time.monotonic(), Job(name, "pay", 60.0)).claims[0]
-    done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    task = Task(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
-    pool.start(claim, task, lambda _, reply: done.set_result(reply.outcome))
+    attempt = coordinator.pick(time.monotonic(), Request(name, "pay", 60.0)).attempts[0]
+    done: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
+    task = OutboundRequest(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
+    pool.start(attempt, task, lambda _, reply: done.set_result(reply.outcome))
     return await done
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
-@pytest.mark.parametrize(("times", "outcome", "got"), [(3, Outcome.SERVED, 1), (10**6, Outcome.MOOT, 0)])
+@pytest.mark.parametrize(
+    ("times", "outcome", "got"), [(3, AttemptOutcome.OK, 1), (10**6, AttemptOutcome.NOT_SENT, 0)]
+)
 def test_first_write_that_this_machine_cannot_make(
-    monkeypatch: pytest.MonkeyPatch, number: int, times: int, outcome: Outcome, got: int
+    monkeypatch: pytest.MonkeyPatch, number: int, times: int, outcome: AttemptOutcome, got: int
 ) -> None:
     """Nothing of it was written, so it is made again, and never ran where that does not help."""
 
-    async def work(pool: Pool, facade: Facade, counters: Counters) -> int:
+    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> int:
         monkeypatch.setattr("os.writev", faulty(os.writev, number, times))
-        assert await attempt(pool, facade, "j", [b"body"]) is outcome
+        assert await attempt(pool, coordinator, "j", [b"body"]) is outcome
         return counters["writes_not_begun"]
 
-    tries, nodes = play(1, work)
-    assert len(nodes[0].got) == got and tries >= 3
+    tries, upstreams = play(1, work)
+    assert len(upstreams[0].got) == got and tries >= 3
 
 
 def test_partly_written_attempt_that_this_machine_cannot_go_on_with(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -233,23 +240,23 @@
             raise OSError(errno.ENOBUFS, "no buffers")
         return real(fd, [bytes(pieces[0])[:10]])
 
-    async def work(pool: Pool, facade: Facade, counters: Counters) -> None:
+    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         monkeypatch.setattr("os.writev", writev)
-        assert await attempt(pool, facade, "j", [b"body"]) is Outcome.MOOT
+        assert await attempt(pool, coordinator, "j", [b"body"]) is AttemptOutcome.NOT_SENT
 
-    _, nodes = play(1, work)
-    assert calls[0] > 3 and not any(message.body for message in nodes[0].got)
+    _, upstreams = play(1, work)
+    assert calls[0] > 3 and not any(message.body for message in upstreams[0].got)
 
 
-@pytest.mark.parametrize(("times", "outcome"), [(3, Outcome.SERVED), (10**6, Outcome.MOOT)])
+@pytest.mark.parametrize(("times", "outcome"), [(3, AttemptOutcome.OK), (10**6, AttemptOutcome.NOT_SENT)])
 @pytest.mark.parametrize("step", ["connect", "write"])
 def test_probe_over_errors_of_this_machine(
-    monkeypatch: pytest.MonkeyPatch, step: str, times: int, outcome: Outcome
+    monkeypatch: pytest.MonkeyPatch, step: str, times: int, outcome: AttemptOutcome
 ) -> None:
     if step == "write" and times == 3:
-        times, outcome = 1, Outcome.MOOT  # a probe is not made again: the next one comes soon
+        times, outcome = 1, AttemptOutcome.NOT_SENT  # a probe is not made again: the next one comes soon
 
-    async def work(pool: Pool, facade: Facade, counters: Counters) -> None:
+    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         if step == "connect":
             break_open("connect", errno.EADDRNOTAVAIL, times, monkeypatch)
         else:
@@ -281,12 +288,12 @@
 )
 def test_connects_that_fail_here_cost_no_request_and_no_upstream(tmp_path: Path, answer: str) -> None:
     """Found by forcing EADDRNOTAVAIL on 24 connects: most of 200 requests were refused, all four upstreams
-    had open circuits and some were in quarantine, though all were well."""
+    had open circuits and some were in ejection, though all were well."""
     (tmp_path / "sitecustomize.py").write_text(CUSTOM.format(times=24, answer=answer))
-    with peers.running(tmp_path, *[peers.echo] * 4, PYTHONPATH=str(tmp_path)) as (program, nodes, _):
+    with peers.running(tmp_path, *[peers.echo] * 4, PYTHONPATH=str(tmp_path)) as (program, upstreams, _):
         with ThreadPoolExecutor(16) as clients:
-            codes = list(clients.map(lambda _: program.ask(peers.job("pay", b"x"))[0], range(200)))
+            codes = list(clients.map(lambda _: program.ask(peers.request("pay", b"x"))[0], range(200)))
         counts, log = program.counters(), program.log.read_text()
-    assert codes == [200] * 200 and sum(len(node.got) for node in nodes) == 200
-    assert not counts.get("circuits_opened") and not counts.get("connects_failed")
+    assert codes == [200] * 200 and sum(len(upstream.got) for upstream in upstreams) == 200
+    assert not counts.get("circuit_breakers_opened") and not counts.get("connects_failed")
     assert "quarantine" not in log
