--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,7 +1,7 @@
 """Many sidecars side by side that share nothing: bounds on what all of them together do to the fleet.
 
-Real facades under one clock that the test moves. What a sidecar sends, asks and connects is counted over all.
-"""
+Real coordinators under one clock that the test moves. What a sidecar sends, asks and connects is counted over
+all."""
 
 from __future__ import annotations
 
@@ -16,40 +16,42 @@
 
 import pytest
 
-from indigokeel.decision import interface as api
-from indigokeel.facade import Facade
-from indigokeel.machine_list import Machine, MachineList
-from indigokeel.orders import Claim, Job, Orders, Outcome, Verdict
+from indigokeel.balancing.actions import LogMessage
+from indigokeel.balancing.events import AttemptOutcome, EndpointState
+from indigokeel.balancing.settings import Safety
+from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Attempt, Effects, FinalStatus, Request
 from tests.conftest import KEYED, UNSAFE, Driver, make_members, make_settings, of, sends
 
-SIDECARS, NODES, RATE = 40, 60, 30.0  # RATE: jobs a second that a warm node can do
-SAFETY = api.Safety(cold_from=0.35, warm_within=8.8, tip_multiple=3.0, overload_for=1.5)
+SIDECARS, NODES, RATE = 40, 60, 30.0  # RATE: requests a second that a warm upstream can do
+SAFETY = Safety(warm_up_initial_ratio=0.35, warm_up_time=8.8, overload_multiple=3.0, overload_window=1.5)
 
 
-def machine(number: int, since: float = 0.0, generation: int = 0) -> Machine:
+def endpoint(number: int, since: float = 0.0, generation: int = 0) -> Endpoint:
     name = f"s-{number}-{generation}"
-    return Machine(name, "127.0.0.1", 3000 + number, "z", f"k{number % 3}", number // 6, since=since)
+    return Endpoint(name, "127.0.0.1", 3000 + number, "z", f"k{number % 3}", number // 6, since=since)
 
 
 class Fleet:
-    """Facades, the nodes that serve their claims, and one clock. Discovery answers nobody: every call for
-    the list fails. Nodes that are ``dead`` refuse every connection."""
+    """Facades, the upstreams that serve their attempts, and one clock. Discovery answers nobody: every call
+    for the list fails. Upstreams that are ``dead`` refuse every connection."""
 
     def __init__(
         self,
         sidecars: int = SIDECARS,
-        nodes: int = NODES,
+        upstreams: int = NODES,
         seed: int = 1,
-        machines: list[Machine] | None = None,
+        endpoints: list[Endpoint] | None = None,
     ) -> None:
         self.random, self.now = Random(seed), 1000.0
-        self.machines = machines or [machine(number) for number in range(nodes)]
+        self.endpoints = endpoints or [endpoint(number) for number in range(upstreams)]
         self.dead: set[str] = set()
-        self.answers: dict[str, list[tuple[float, Verdict]]] = {}  # by job
+        self.answers: dict[str, list[tuple[float, FinalStatus]]] = {}  # by request
         self.starts: dict[str, float] = {}  # of those that began cold
         self.sends: dict[
             str, list[float]
-        ] = {}  # when each node was sent something, by those told of its start
+        ] = {}  # when each upstream was sent something, by those told of its start
         self.told: set[int] = set()
         self.used: list[Counter[str]] = [Counter() for _ in range(sidecars)]
         self.watches: list[tuple[float, int]] = []  # calls for the list
@@ -58,12 +60,21 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = itertools.count()
         settings = make_settings(
-            classes=(replace(KEYED, aim=0.36, deadline=1.4), replace(UNSAFE, aim=0.36, deadline=0.7)),
-            safety=SAFETY, sidecars=sidecars, ask_membership=True, warm_keys=True,
-        )  # fmt: skip
-        self.facades = [Facade(replace(settings, me=me), seed * 1000 + me, 0.0) for me in range(sidecars)]
+            classes=(
+                replace(KEYED, latency_objective=0.36, deadline=1.4),
+                replace(UNSAFE, latency_objective=0.36, deadline=0.7),
+            ),
+            safety=SAFETY,
+            sidecars=sidecars,
+            polls_membership=True,
+            key_affinity=True,
+        )
+        self.coordinators = [
+            RequestCoordinator(replace(settings, instance_index=me), seed * 1000 + me, 0.0)
+            for me in range(sidecars)
+        ]
         for me in range(sidecars):
-            self.tell(me, MachineList(1, True, tuple(self.machines)), cached=True)
+            self.tell(me, EndpointList(1, True, tuple(self.endpoints)), cached=True)
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (when, next(self._serial), call))
@@ -74,18 +85,21 @@
             call()
         self.now = until
 
-    def tell(self, me: int, news: MachineList, cached: bool = False) -> None:
-        self.obey(me, self.facades[me].listed(self.now, news, cached))
+    def tell(self, me: int, news: EndpointList, cached: bool = False) -> None:
+        self.obey(me, self.coordinators[me].update_endpoints(self.now, news, cached))
 
-    def obey(self, me: int, orders: Orders) -> None:
-        if orders.watch:
+    def obey(self, me: int, effects: Effects) -> None:
+        if effects.watch:
             self.watches.append((self.now, me))
-            self.at(self.now + 0.01, lambda: self.obey(me, self.facades[me].list_failed(self.now)))
-        for claim in orders.claims:
-            self.begin(me, claim)
-        for answer in orders.answers:
-            self.answers.setdefault(answer.job, []).append((self.now, answer.verdict))
-        due = self.facades[me].due()
+            self.at(
+                self.now + 0.01,
+                lambda: self.obey(me, self.coordinators[me].endpoint_watch_failed(self.now)),
+            )
+        for attempt in effects.attempts:
+            self.begin(me, attempt)
+        for answer in effects.answers:
+            self.answers.setdefault(answer.request, []).append((self.now, answer.status))
+        due = self.coordinators[me].next_deadline()
         if due < self._wound[me]:
             self._wound[me] = due
             self.at(due, lambda: self.tick(me, due))
@@ -93,36 +107,44 @@
     def tick(self, me: int, due: float) -> None:
         if due == self._wound[me]:  # else wound anew for something earlier
             self._wound[me] = math.inf
-            self.obey(me, self.facades[me].tick(self.now))
+            self.obey(me, self.coordinators[me].tick(self.now))
 
-    def begin(self, me: int, claim: Claim) -> None:
-        self.used[me][claim.node] += 1
+    def begin(self, me: int, attempt: Attempt) -> None:
+        self.used[me][attempt.upstream] += 1
         if me in self.told:
-            self.sends.setdefault(claim.node, []).append(self.now)
-        if claim.node in self.dead:
-            lost = Outcome.NO_CONNECTION
-            self.at(self.now + 0.002, lambda: self.obey(me, self.facades[me].report(self.now, claim, lost)))
-        elif self.facades[me].begin(self.now, claim):
-            self.at(self.now + self.random.uniform(0.02, 0.08), lambda: self.finish(me, claim))
-
-    def finish(self, me: int, claim: Claim) -> None:
-        seen = self._recent.setdefault(claim.node, deque())
+            self.sends.setdefault(attempt.upstream, []).append(self.now)
+        if attempt.upstream in self.dead:
+            lost = AttemptOutcome.NO_CONNECTION
+            self.at(
+                self.now + 0.002, lambda: self.obey(me, self.coordinators[me].report(self.now, attempt, lost))
+            )
+        elif self.coordinators[me].may_begin(self.now, attempt):
+            self.at(self.now + self.random.uniform(0.02, 0.08), lambda: self.finish(me, attempt))
+
+    def finish(self, me: int, attempt: Attempt) -> None:
+        seen = self._recent.setdefault(attempt.upstream, deque())
         seen.append(self.now)
         while seen[0] < self.now - 0.5:
             seen.popleft()
         rate = len(seen) / 0.5
-        load = {"rate": rate, "utilisation": min(rate / (RATE * self.capacity(claim.node, self.now)), 1.0)}
-        self.obey(me, self.facades[me].report(self.now, claim, Outcome.SERVED, load))
-
-    def capacity(self, node: str, now: float) -> float:
-        """The part of its capacity that a node has: the least that the rule promises."""
-        age = now - self.starts.get(node, -1e9)
-        if age >= SAFETY.warm_within:
+        load = {
+            "rate": rate,
+            "utilisation": min(rate / (RATE * self.capacity(attempt.upstream, self.now)), 1.0),
+        }
+        self.obey(me, self.coordinators[me].report(self.now, attempt, AttemptOutcome.OK, load))
+
+    def capacity(self, upstream: str, now: float) -> float:
+        """The part of its capacity that an upstream has: the least that the rule promises."""
+        age = now - self.starts.get(upstream, -1e9)
+        if age >= SAFETY.warm_up_time:
             return 1.0
-        return SAFETY.cold_from + (1.0 - SAFETY.cold_from) * max(age, 0.0) / SAFETY.warm_within
+        return (
+            SAFETY.warm_up_initial_ratio
+            + (1.0 - SAFETY.warm_up_initial_ratio) * max(age, 0.0) / SAFETY.warm_up_time
+        )
 
     def traffic(self, rates: list[float], until: float, keys: int = 400) -> None:
-        """Jobs for each sidecar at its own rate, drawn ahead; a few keys are asked for far more often."""
+        """Requests for each sidecar at its own rate, drawn ahead; a few keys are asked for far more often."""
         for me, rate in enumerate(rates):
             when = self.now
             for number in itertools.count():
@@ -131,8 +153,13 @@
                     break
                 key = f"key{int(keys * self.random.random() ** 3)}"
                 name = ("order", "pay")[number % 2]
-                job = Job(f"{me}.{self.now}.{number}", name, 0.7, key=key)
-                self.at(when, lambda me=me, job=job: self.obey(me, self.facades[me].pick(self.now, job)))  # type: ignore[misc]
+                request = Request(f"{me}.{self.now}.{number}", name, 0.7, key=key)
+                self.at(
+                    when,
+                    lambda me=me, request=request: self.obey(  # type: ignore[misc]
+                        me, self.coordinators[me].pick(self.now, request)
+                    ),
+                )
 
 
 def uneven(total: float) -> list[float]:
@@ -142,32 +169,34 @@
 
 
 def test_a_sidecar_uses_a_part_of_the_fleet_that_follows_its_own_traffic() -> None:
-    """Each of forty opened connections to every node, and met every bad one: 2,158 of 2,400 pairs in 22 s."""
+    """Each of forty opened connections to every upstream, and met every bad one: 2,158 of 2,400 pairs in 22
+    s."""
     fleet = Fleet()
     rates = [4.0] * 39 + [200.0]
     fleet.traffic(rates, 1015.0)
     fleet.run(1016.0)
     quiet = [len(used) for used in fleet.used[:-1]]
     assert max(quiet) <= 20 and len(fleet.used[-1]) == NODES  # of those that have work for all, all
-    assert len({node for used in fleet.used[:-1] for node in used}) == NODES  # and their parts differ
+    assert len({upstream for used in fleet.used[:-1] for upstream in used}) == NODES  # and their parts differ
 
 
 def test_a_small_fleet_is_used_whole() -> None:
-    fleet = Fleet(sidecars=3, nodes=12)
+    fleet = Fleet(sidecars=3, upstreams=12)
     fleet.traffic([20.0] * 3, 1010.0)
     fleet.run(1011.0)
     assert [len(used) for used in fleet.used] == [12] * 3
 
 
 def worst_cold(fleet: Fleet) -> float:
-    """The most that a cold node was sent within any span of the rule, as a part of what pushes it over."""
-    worst, span = 0.0, SAFETY.overload_for
-    for node, start in fleet.starts.items():
-        times = [t for t in fleet.sends.get(node, ()) if t < start + SAFETY.warm_within]
+    """The most that a cold upstream was sent within any span of the rule, as a part of what pushes it
+    over."""
+    worst, span = 0.0, SAFETY.overload_window
+    for upstream, start in fleet.starts.items():
+        times = [t for t in fleet.sends.get(upstream, ()) if t < start + SAFETY.warm_up_time]
         for i, first in enumerate(times):
-            able = (fleet.capacity(node, first) + fleet.capacity(node, first + span)) / 2.0
+            able = (fleet.capacity(upstream, first) + fleet.capacity(upstream, first + span)) / 2.0
             count = bisect_right(times, first + span) - i
-            worst = max(worst, count / (RATE * able * SAFETY.tip_multiple * span))
+            worst = max(worst, count / (RATE * able * SAFETY.overload_multiple * span))
     return worst
 
 
@@ -178,20 +207,20 @@
     fleet.traffic(uneven(1.0 * RATE * NODES), 1016.0)
     fleet.run(1004.0)
     replaced = how.startswith("six")
-    gone = fleet.machines[:36] if replaced else fleet.machines[:20]
+    gone = fleet.endpoints[:36] if replaced else fleet.endpoints[:20]
     back = [replace(m, name=f"n-{i}" if replaced else m.name, since=1004.0) for i, m in enumerate(gone)]
     fleet.starts = {m.name: 1004.0 for m in back}
-    news = [*back, *(replace(m, state=api.State.GONE) for m in gone if replaced)]
+    news = [*back, *(replace(m, state=EndpointState.GONE) for m in gone if replaced)]
 
     def tell(me: int) -> None:
         fleet.told.add(me)
-        fleet.tell(me, MachineList(2, False, tuple(news)))
+        fleet.tell(me, EndpointList(2, False, tuple(news)))
 
     for me in range(SIDECARS):
         delay = fleet.random.uniform(0.0, 2.0)
         fleet.at(1004.0 + delay, lambda me=me: tell(me))  # type: ignore[misc]
     fleet.run(1016.0)
-    assert sum(len(fleet.sends.get(node, ())) for node in fleet.starts) > 500  # they do get work
+    assert sum(len(fleet.sends.get(upstream, ())) for upstream in fleet.starts) > 500  # they do get work
     assert worst_cold(fleet) < 0.8  # it falls over at 1; both are near that without the limit
 
 
@@ -210,8 +239,8 @@
 
 
 def test_nodes_that_only_fail_are_left_after_few_failures() -> None:
-    """Nine of sixty nodes failed all that they were given for 10 s: each of forty sidecars paid 3.4 failures
-    for each, for it took their failures for a sign of how often a healthy node fails."""
+    """Nine of sixty upstreams failed all that they were given for 10 s: each of forty sidecars paid 3.4
+    failures for each, for it took their failures for a sign of how often a healthy upstream fails."""
     paid = []
     for seed in range(30):
         driver = Driver(make_settings(classes=(UNSAFE,)), make_members(20), seed)
@@ -221,11 +250,11 @@
             driver.now += 0.05
             _, actions = driver.request("pay")
             for send in sends(actions):
-                how = api.Ending.ERROR if send.upstream in bad else api.Ending.OK
+                how = AttemptOutcome.ERROR if send.upstream in bad else AttemptOutcome.OK
                 ended = driver.end(send, how)
-                if how is api.Ending.ERROR:
+                if how is AttemptOutcome.ERROR:
                     failures[send.upstream] += 1
-                for log in of(ended, api.Log):
+                for log in of(ended, LogMessage):
                     if log.text == f"quarantine: {send.upstream}" and send.upstream in bad:
                         paid.append(failures[send.upstream])
                         bad.discard(send.upstream)  # one reckoning for each
@@ -233,13 +262,13 @@
 
 
 def test_failures_that_healthy_nodes_share_put_none_of_them_aside() -> None:
-    """A part of all answers are errors, at every node alike: none is worse than another."""
+    """A part of all answers are errors, at every upstream alike: none is worse than another."""
     random, put_aside = Random(5), 0
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(20))
     for _ in range(3000):
         driver.now += 0.05
         _, actions = driver.request("pay")
         for send in sends(actions):
-            how = api.Ending.ERROR if random.random() < 0.15 else api.Ending.OK
-            put_aside += sum("quarantine" in log.text for log in of(driver.end(send, how), api.Log))
+            how = AttemptOutcome.ERROR if random.random() < 0.15 else AttemptOutcome.OK
+            put_aside += sum("quarantine" in log.text for log in of(driver.end(send, how), LogMessage))
     assert put_aside <= 10
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -16,8 +16,8 @@
 import pytest
 
 from indigokeel.config import ConfigError, load_config, reload_config
-from indigokeel.net.counters import Counters
-from indigokeel.net.management import Management
+from indigokeel.metrics import Counters
+from indigokeel.net.admin import AdminServer
 from tests.peers import (
     CLASSES,
     OPERATORS,
@@ -28,10 +28,10 @@
     echo,
     entry,
     free_port,
-    job,
-    machine_list,
     operators,
+    parse_endpoint_list,
     read_answer,
+    request,
     running,
     until,
 )
@@ -71,7 +71,7 @@
             conn.sendall(raw)
             file = conn.makefile("rb")
             assert read_answer(file)[0] == code and file.read() == b""
-        assert program.ask(job())[0] == 200
+        assert program.ask(request())[0] == 200
 
 
 def test_operators_are_answered_beside_callers_that_hold_connections(tmp_path: Path) -> None:
@@ -86,7 +86,7 @@
 
 def test_without_a_second_address_nothing_listens_or_is_left(tmp_path: Path) -> None:
     with running(tmp_path, echo, TMPDIR=str(tmp_path / "none")) as (program, _, _d):
-        assert program.ask(job())[0] == 200
+        assert program.ask(request())[0] == 200
         assert "mgmt_calls" not in program.counters() and not (tmp_path / "none").exists()
 
 
@@ -94,7 +94,7 @@
     """Guards against the audit that took it for a stray and shut it after 15 s: later calls went unheard."""
 
     async def play() -> None:
-        room = Management(None, Counters("t"))  # type: ignore[arg-type]
+        room = AdminServer(None, Counters("t"))  # type: ignore[arg-type]
         address = (OPERATORS, free_port(OPERATORS))
         await room.listen(address)
         (found,) = room.descriptors()
@@ -109,20 +109,20 @@
 
 
 def test_cordoned_node_gets_nothing_until_it_is_given_back(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, nodes, discovery):
+    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, discovery):
         assert program.call("PUT", "cordon", "s-0") == 200 == program.call("PUT", "cordon", "s-0")
-        had = len(nodes[0].got)
+        had = len(upstreams[0].got)
         discovery.push(
             json.dumps(
-                machine_list(*(entry(f"s-{i}", n.port) for i, n in enumerate(nodes)), index=2)
+                parse_endpoint_list(*(entry(f"s-{i}", n.port) for i, n in enumerate(upstreams)), index=2)
             ).encode()
         )
-        until(lambda: program.counters().get("machine_lists") == 1)
+        until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(20):
-            assert program.ask(job())[0] == 200
-        assert len(nodes[0].got) == had and program.counters()["cordoned"] == 1
+            assert program.ask(request())[0] == 200
+        assert len(upstreams[0].got) == had and program.counters()["cordoned"] == 1
         assert program.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: program.ask(job())[0] == 200 and len(nodes[0].got) > had)
+        until(lambda: program.ask(request())[0] == 200 and len(upstreams[0].got) > had)
 
 
 def test_cordon_is_taken_and_holds_while_the_second_address_is_flooded(tmp_path: Path) -> None:
@@ -139,7 +139,7 @@
         for conn in held:
             conn.close()
 
-    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, nodes, _):
+    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, _):
         kinds = (b"PUT /admin/cordon HTTP/1.1\r\n", b"\0" * 40_000, b"GET /admin/health HTTP/1.1\r\n\r\n")
         workers = [threading.Thread(target=flood, args=(raw,)) for raw in kinds]
         for worker in workers:
@@ -148,11 +148,11 @@
             for _ in range(3):
                 # A caller who is pushed out by the flood asks again: this one until it is told.
                 until(lambda: _told(program, "cordon"))
-                had = len(nodes[0].got)
-                assert {program.ask(job())[0] for _ in range(20)} == {200}
-                assert len(nodes[0].got) == had
+                had = len(upstreams[0].got)
+                assert {program.ask(request())[0] for _ in range(20)} == {200}
+                assert len(upstreams[0].got) == had
                 until(lambda: _told(program, "uncordon"))
-                until(lambda n=had: program.ask(job())[0] == 200 and len(nodes[0].got) > n)  # type: ignore[misc]
+                until(lambda n=had: program.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
         finally:
             stop.set()
             for worker in workers:
@@ -168,14 +168,14 @@
 def test_cordon_holds_where_nothing_can_be_left(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo, **{**operators(tmp_path), "TMPDIR": str(tmp_path / "none")}) as (
         program,
-        nodes,
+        upstreams,
         _,
     ):
         assert program.call("PUT", "cordon", "s-0") == 503 == program.call("PUT", "cordon", "s-0")
-        had = len(nodes[0].got)
+        had = len(upstreams[0].got)
         for _ in range(10):
-            assert program.ask(job())[0] == 200
-        assert len(nodes[0].got) == had and program.counters()["handovers_unwritten"] >= 2
+            assert program.ask(request())[0] == 200
+        assert len(upstreams[0].got) == had and program.counters()["state_files_unwritten"] >= 2
         assert program.log.read_text().count("nothing can be left") == 1
         (tmp_path / "none").mkdir()  # it is tried on until it is stored
         until(lambda: program.call("PUT", "cordon", "s-0") == 200)
@@ -191,7 +191,7 @@
         "discovery": "127.0.0.1:2",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 256},
-        "known": machine_list(entry("s-0", 1)),
+        "known": parse_endpoint_list(entry("s-0", 1)),
         "settings": json.loads(json.dumps(SETTINGS)),
     }
 
@@ -258,17 +258,17 @@
 def test_new_settings_bind_and_broken_ones_change_nothing_under_load(tmp_path: Path) -> None:
     failing: set[str] = set()
 
-    def node(message: Message) -> bytes:
+    def upstream(message: Message) -> bytes:
         name = message.line.split("/")[1]
         return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if name in failing else echo(message)
 
-    with running(tmp_path, node, node) as (program, nodes, _):
+    with running(tmp_path, upstream, upstream) as (program, upstreams, _):
         good = json.loads(program.config.read_text())
         stop, codes = threading.Event(), []
 
         def load() -> None:
             while not stop.is_set():
-                codes.append(program.ask(job("order", b"x", more="Idempotency-Key: k\r\n"))[0])
+                codes.append(program.ask(request("order", b"x", more="Idempotency-Key: k\r\n"))[0])
 
         worker = threading.Thread(target=load)
         worker.start()
@@ -276,46 +276,46 @@
             program.config.write_bytes(data)
             program.process.send_signal(signal.SIGHUP)
             until(lambda told=number: program.log.read_text().count("stays as it was") == told)  # type: ignore[misc]
-        assert program.ask(job("fresh"))[0] == 400
+        assert program.ask(request("fresh"))[0] == 400
         # A class comes, one changes its effect; then one goes, and attempts become one.
         classes = [{**CLASSES[0]}, {**CLASSES[1], "effect": "unsafe"}, CLASSES[2]]
         classes.append({**CLASSES[1], "name": "fresh"})
         program.config.write_text(json.dumps({**good, "settings": {**SETTINGS, "classes": classes}}))
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
-        assert program.ask(job("fresh"))[0] == 200
+        assert program.ask(request("fresh"))[0] == 200
         failing.add("view")
-        before = sum(len(n.got) for n in nodes)
+        before = sum(len(n.got) for n in upstreams)
         stop.set()
         worker.join()
-        before = sum(len(n.got) for n in nodes)
-        assert program.ask(job("view"))[0] == 500 and sum(len(n.got) for n in nodes) == before + 1
+        before = sum(len(n.got) for n in upstreams)
+        assert program.ask(request("view"))[0] == 500 and sum(len(n.got) for n in upstreams) == before + 1
         limits = {**SETTINGS["limits"], "max-attempts": 1}
         changed = {**SETTINGS, "classes": classes[2:], "limits": limits}
         program.config.write_text(json.dumps({**good, "settings": changed}))
         program.process.send_signal(signal.SIGHUP)
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters()["reloads"] >= 2)
-        assert program.ask(job("view"))[0] == 400
+        assert program.ask(request("view"))[0] == 400
         failing.add("fresh")
-        before = sum(len(n.got) for n in nodes)
-        assert program.ask(job("fresh"))[0] != 200 and sum(len(n.got) for n in nodes) == before + 1
+        before = sum(len(n.got) for n in upstreams)
+        assert program.ask(request("fresh"))[0] != 200 and sum(len(n.got) for n in upstreams) == before + 1
         assert codes and set(codes) == {200}
 
 
 def test_open_job_ends_under_the_settings_it_was_taken_under(tmp_path: Path) -> None:
     held, go = threading.Event(), threading.Event()
 
-    def node(message: Message) -> bytes | None:
+    def upstream(message: Message) -> bytes | None:
         if not held.is_set():
             held.set()
             assert go.wait(WAIT)
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         return echo(message)
 
-    with running(tmp_path, node, node) as (program, _, _d), program.connect() as conn:
+    with running(tmp_path, upstream, upstream) as (program, _, _d), program.connect() as conn:
         good = json.loads(program.config.read_text())
-        conn.sendall(job("view"))
+        conn.sendall(request("view"))
         assert held.wait(WAIT)
         changed = {**SETTINGS, "classes": CLASSES[:1], "limits": {**SETTINGS["limits"], "max-attempts": 1}}
         program.config.write_text(json.dumps({**good, "settings": changed}))
@@ -323,21 +323,21 @@
         until(lambda: program.counters().get("reloads") == 1)
         go.set()
         assert read_answer(conn.makefile("rb"))[0] == 200  # safe and tried again, as when it came
-        assert program.ask(job("view"))[0] == 400
-        assert program.counters()["module_faults"] == 0
+        assert program.ask(request("view"))[0] == 400
+        assert program.counters()["balancer_faults"] == 0
 
 
 def test_answer_that_came_while_the_process_stood_still_is_served(tmp_path: Path) -> None:
-    """Guards against claims that time out because their own sidecar did not look: the answer is here."""
+    """Guards against attempts that time out because their own sidecar did not look: the answer is here."""
     go = threading.Event()
 
-    def node(message: Message) -> bytes:
+    def upstream(message: Message) -> bytes:
         assert go.wait(WAIT)
         return echo(message)
 
-    with running(tmp_path, node) as (program, nodes, _), program.connect() as conn:
-        conn.sendall(job("pay", b"x"))
-        until(lambda: len(nodes[0].got) == 1)
+    with running(tmp_path, upstream) as (program, upstreams, _), program.connect() as conn:
+        conn.sendall(request("pay", b"x"))
+        until(lambda: len(upstreams[0].got) == 1)
         program.process.send_signal(signal.SIGSTOP)
         go.set()
         time.sleep(1.0)  # beyond the class's aim
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for what is decoded: machine lists, addresses, configuration, load reports, jobs."""
+"""Tables of cases for what is decoded: endpoint lists, addresses, configuration, load reports, requests."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import pytest
 
+from indigokeel.balancing.events import EndpointState
+from indigokeel.balancing.settings import ClassSettings, Idempotency, Limits, LoadReportSource, Settings
 from indigokeel.config import ConfigError, decode_settings, load_config
-from indigokeel.decision import interface as api
-from indigokeel.decision.interface import State
-from indigokeel.machine_list import ListError, decode, parse_address
-from indigokeel.net.http import MalformedError, load_figures
-from indigokeel.net.jobs import read_job
-from tests.peers import SETTINGS, entry, machine_list
+from indigokeel.endpoints.endpoint_list import EndpointListError, decode, parse_address
+from indigokeel.net.downstream.request_decoder import read_request
+from indigokeel.net.http import RequestError, load_figures
+from tests.peers import SETTINGS, entry, parse_endpoint_list
 
 
 @pytest.mark.parametrize("text", ["", "a", "a:", ":1", "a:0", "a:65536", "a:x", "a:٣"])
@@ -30,12 +30,12 @@
 
 def test_machine_list() -> None:
     gone = {"name": "s-2", "status": "Gone"}
-    data = machine_list(entry("s-1", 30, "Terminating", 3, 1500), gone, index=7, whole=False)
+    data = parse_endpoint_list(entry("s-1", 30, "Terminating", 3, 1500), gone, index=7, whole=False)
     news = decode(json.dumps(data).encode())
-    first, second = news.machines
-    assert (news.version, news.whole) == (7, False)
-    assert (first.name, first.port, first.cell, first.since) == ("s-1", 30, 3, 1.5)
-    assert (first.state, second.state) == (State.DRAINING, State.GONE)
+    first, second = news.endpoints
+    assert (news.version, news.is_snapshot) == (7, False)
+    assert (first.name, first.port, first.replica_group, first.since) == ("s-1", 30, 3, 1.5)
+    assert (first.state, second.state) == (EndpointState.DRAINING, EndpointState.GONE)
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
     ],
 )
 def test_what_is_no_machine_list(text: str) -> None:
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         decode(text.encode())
 
 
@@ -88,13 +88,19 @@
 def read(target: str, method: str = "POST", **changes: str | None) -> Any:
     headers = {**GOOD, **{name.replace("_", "-"): value for name, value in changes.items()}}
     pairs = {n.lower().encode(): value.encode() for n, value in headers.items() if value is not None}
-    return read_job(method.encode(), target.encode(), pairs, decode_settings(SETTINGS))
+    return read_request(method.encode(), target.encode(), pairs, decode_settings(SETTINGS))
 
 
 def test_job() -> None:
-    job, task = read("/order/x/7f?a=/b", Tenant="t", Client_Retry="1", Request_Info="a=1,mutates=1,odd")
-    assert (job.id, job.job_class, job.budget, job.tenant, job.key) == ("a1", "order", 0.48, "t", "7f")
-    assert job.repeat and job.write and job.hint == 0.0
+    request, task = read("/order/x/7f?a=/b", Tenant="t", Client_Retry="1", Request_Info="a=1,mutates=1,odd")
+    assert (request.id, request.class_name, request.budget, request.tenant, request.key) == (
+        "a1",
+        "order",
+        0.48,
+        "t",
+        "7f",
+    )
+    assert request.repeat and request.write and request.hint == 0.0
     assert (task.target, task.key, task.has_body) == (b"/order/x/7f?a=/b", b"k", False)
     assert read("/order")[0].key == "" and read("/order/", Work_Hint="x")[0].hint == 0.0
 
@@ -117,7 +123,7 @@
     ],
 )
 def test_what_is_no_job(target: str, changes: dict[str, Any], status: int) -> None:
-    with pytest.raises(MalformedError) as found:
+    with pytest.raises(RequestError) as found:
         read(target, **changes)
     assert found.value.status == status
 
@@ -127,7 +133,7 @@
     "listen": "127.0.0.1:3000",
     "discovery": "127.0.0.1:85",
     "seed": "ff",
-    "known": machine_list(),
+    "known": parse_endpoint_list(),
     "settings": SETTINGS,
 }
 
@@ -194,8 +200,8 @@
         "weights",
     )
     assert decode_settings(least) == decode_settings({**least, **dict.fromkeys(optional)})
-    assert decode_settings(least) == api.Settings(
-        classes=(api.ClassSettings("view", aim=0.5, deadline=1.0, effect=api.Effect.SAFE),),
-        limits=api.Limits(cancelling=False, second_copies=False, max_attempts=1),
-        reports=api.Reports.NONE,
+    assert decode_settings(least) == Settings(
+        classes=(ClassSettings("view", latency_objective=0.5, deadline=1.0, idempotency=Idempotency.SAFE),),
+        limits=Limits(cancellation=False, hedging=False, max_attempts=1),
+        load_report_source=LoadReportSource.NONE,
     )
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -16,19 +16,20 @@
 
 import pytest
 
-from indigokeel.net.counters import Counters
-from indigokeel.net.exchange import Reply, Task
-from indigokeel.net.jobs import read_job
-from indigokeel.net.pipeline import MOST_AHEAD, Pipeline
-from indigokeel.net.submitters import Final, Session
-from indigokeel.orders import Job, Outcome, Verdict
-from tests.peers import WAIT, Peer, echo, entry, job, machine_list, read_answer, running, until
+from indigokeel.balancing.events import AttemptOutcome
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_connection import ClientConnection, FinalResponse
+from indigokeel.net.downstream.pipeline import MOST_AHEAD, Pipeline
+from indigokeel.net.downstream.request_decoder import read_request
+from indigokeel.net.messages import OutboundRequest, UpstreamResponse
+from indigokeel.requests.effects import FinalStatus, Request
+from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_answer, request, running, until
 from tests.test_endings import HEALTH, Held
 from tests.test_net import LateDesk
 
 LONG = b"z" * 150_000
-PAY, LAST = job("pay", b"one"), job("pay", b"last")
-BAD_CHUNK = job("odd", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+PAY, LAST = request("pay", b"one"), request("pay", b"last")
+BAD_CHUNK = request("odd", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
 
 
 def without(name: bytes, raw: bytes) -> bytes:
@@ -46,40 +47,40 @@
 @pytest.mark.parametrize(
     ("between", "codes"),
     [
-        (job("pay", b"x") * 0, []),
-        (b"".join(job("pay", b"x") for _ in range(10)), [200] * 10),
-        (b"".join(job("pay", b"x") for _ in range(200)), [200] * 200),
+        (request("pay", b"x") * 0, []),
+        (b"".join(request("pay", b"x") for _ in range(10)), [200] * 10),
+        (b"".join(request("pay", b"x") for _ in range(200)), [200] * 200),
         (HEALTH * 5000, [200] * 5000),
         (b"GET / HTTP/1.1\r\n\r\n" * 1000, [400] * 1000),
-        (job("odd", b"x") * 3, [400] * 3),
+        (request("odd", b"x") * 3, [400] * 3),
         (without(b"Request-Id", PAY), [400]),
         (without(b"Request-Timeout-Ms", PAY), [400]),
-        (job("pay", b"x", wait_ms=-5), [400]),
-        (job("order", b"x"), [400]),  # without its Idempotency-Key
+        (request("pay", b"x", wait_ms=-5), [400]),
+        (request("order", b"x"), [400]),  # without its Idempotency-Key
         (PAY.replace(b"POST", b"PUT"), [405]),
         (PAY.replace(b"/pay", b"/view"), [404]),
-        (job("odd", LONG), [400]),
+        (request("odd", LONG), [400]),
         (BAD_CHUNK + b"9000\r\n" + b"x" * 0x9000 + b"\r\n0\r\n\r\n", [400]),
         (HEALTH.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG, [413]),
-        (job("odd") + job("pay", LONG) + job("odd"), [400, 200, 400]),
+        (request("odd") + request("pay", LONG) + request("odd"), [400, 200, 400]),
     ],
 )
 def test_each_request_that_was_read_has_its_answer_in_its_place(
     tmp_path: Path, between: bytes, codes: list[int]
 ) -> None:
-    with running(tmp_path, echo) as (program, (node,), _), program.connect() as conn:
+    with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
-        conn.sendall(PAY + between + job("pay", b"last", more="Connection: close\r\n"))
+        conn.sendall(PAY + between + request("pay", b"last", more="Connection: close\r\n"))
         assert codes_of(conn) == [200, *codes, 200]
-        assert (node.got[0].body, node.got[-1].body) == (b"one", b"last")
-        assert len(node.got) == 2 + codes.count(200) * (between[:9] != HEALTH[:9])
+        assert (upstream.got[0].body, upstream.got[-1].body) == (b"one", b"last")
+        assert len(upstream.got) == 2 + codes.count(200) * (between[:9] != HEALTH[:9])
 
 
 @pytest.mark.parametrize(
     "broken",
     [
         b"garbage\r\n\r\n",
-        job("pay", b"x", more="Transfer-Encoding: chunked\r\n"),
+        request("pay", b"x", more="Transfer-Encoding: chunked\r\n"),
         b"POST /pay/1 HTTP/1.1\r\nContent-Length: x\r\n\r\n",
         b"GET / HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n",
         b"GET / HTTP/1.1\r\n" + b"A: b\r\n" * 20_000 + b"\r\n",
@@ -89,12 +90,12 @@
 def test_broken_framing_ends_the_connection_after_the_answers_to_what_came_before(
     tmp_path: Path, broken: bytes
 ) -> None:
-    with running(tmp_path, echo) as (program, (node,), _), program.connect() as conn:
+    with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
-        conn.sendall(PAY * 1 + job("odd", b"x") + LAST + broken + job("pay", b"never"))
+        conn.sendall(PAY * 1 + request("odd", b"x") + LAST + broken + request("pay", b"never"))
         found = codes_of(conn)
         assert found[:3] == [200, 400, 200] and len(found) == 4 and found[3] in (400, 413, 431)
-        assert [message.body for message in node.got] == [b"one", b"last"]
+        assert [message.body for message in upstream.got] == [b"one", b"last"]
 
 
 def test_error_in_a_request_that_had_its_error_is_told_once(tmp_path: Path) -> None:
@@ -108,7 +109,7 @@
 
 def test_upload_that_breaks_off_after_its_answer_gets_no_second_one(tmp_path: Path) -> None:
     with running(tmp_path) as (program, _, _d), program.connect() as conn:
-        head = job("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+        head = request("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         conn.sendall(head + b"20000\r\n" + b"x" * 0x20000 + b"\r\n")
         file = conn.makefile("rb")
         assert read_answer(file)[0] == 503  # there is no upstream
@@ -118,7 +119,7 @@
 
 def test_error_of_a_head_request_has_no_body_that_its_client_does_not_expect(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
-        conn.sendall(job("view").replace(b"GET", b"HEAD") + PAY)
+        conn.sendall(request("view").replace(b"GET", b"HEAD") + PAY)
         file = conn.makefile("rb")
         code, answer = read_answer(file)
         assert (code, answer.headers["content-length"]) == (405, "0")
@@ -135,9 +136,9 @@
     ):
         other.sendall(PAY)
         until(lambda: len(held.got) == 1)
-        discovery.push(json.dumps(machine_list(entry("s-1", quick.port), index=2)).encode())
-        until(lambda: program.counters().get("machine_lists") == 1)
-        conn.sendall(job("pay", b"2") + PAY + job("pay", b"3") + same + job("pay", b"4"))
+        discovery.push(json.dumps(parse_endpoint_list(entry("s-1", quick.port), index=2)).encode())
+        until(lambda: program.counters().get("endpoint_lists") == 1)
+        conn.sendall(request("pay", b"2") + PAY + request("pay", b"3") + same + request("pay", b"4"))
         file = conn.makefile("rb")
         assert [read_answer(file)[0] for _ in range(5)] == [200, 409, 200, 409, 200]
         held.let.set()
@@ -148,12 +149,12 @@
 def test_long_body_that_is_whole_before_its_turn_leaves_the_connection_read(tmp_path: Path) -> None:
     """Nobody took back that its connection was to wait: nothing more was ever read on it."""
     pieces = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
-    long = job("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + pieces
-    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
+    long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + pieces
+    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + long)
-        until(lambda: len(node.got) == 1)
+        until(lambda: len(upstream.got) == 1)
         program.counters()
-        node.let.set()  # type: ignore[attr-defined]
+        upstream.let.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
         assert read_answer(file)[0] == read_answer(file)[0] == 200
         conn.sendall(LAST)
@@ -161,11 +162,11 @@
 
 
 def test_client_that_waits_for_a_word_behind_another_request_gets_it_in_its_turn(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
-        conn.sendall(PAY + job("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
-        until(lambda: len(node.got) == 1)
+    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+        conn.sendall(PAY + request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
+        until(lambda: len(upstream.got) == 1)
         program.counters()
-        node.let.set()  # type: ignore[attr-defined]
+        upstream.let.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
         assert read_answer(file)[1].body == b"one" and file.readline().startswith(b"HTTP/1.1 100")
         assert file.readline() == b"\r\n"
@@ -176,63 +177,71 @@
 def test_requests_that_ran_out_of_time_behind_another_are_refused_and_never_sent(tmp_path: Path) -> None:
     """They were sent on with the time that they had when they were read: 186 of 233 attempts were given up at
     once, counted as late answers of the upstreams, and everyone's requests were shed."""
-    with running(tmp_path, Held(), Held()) as (program, nodes, _), program.connect() as conn:
-        ahead = b"".join(job("pay", b"x", wait_ms=300) for _ in range(20))
-        conn.sendall(job("pay", b"first", wait_ms=1000) + ahead + LAST)
+    with running(tmp_path, Held(), Held()) as (program, upstreams, _), program.connect() as conn:
+        ahead = b"".join(request("pay", b"x", wait_ms=300) for _ in range(20))
+        conn.sendall(request("pay", b"first", wait_ms=1000) + ahead + LAST)
         file = conn.makefile("rb")
         found = [read_answer(file)[0] for _ in range(21)]
         assert found == [500] + [503] * 20
-        until(lambda: sum(len(node.got) for node in nodes) == 2)
-        for node in nodes:
-            node.let.set()  # type: ignore[attr-defined]
+        until(lambda: sum(len(upstream.got) for upstream in upstreams) == 2)
+        for upstream in upstreams:
+            upstream.let.set()  # type: ignore[attr-defined]
         assert read_answer(file)[1].body == b"last"
         counters = program.counters()
-        assert (counters["requests_out_of_time"], counters["claims_sent"]) == (20, 2)
+        assert (counters["requests_out_of_time"], counters["attempts_sent"]) == (20, 2)
         assert "shedding load" not in program.log.read_text()
 
 
 def test_what_was_read_when_the_process_ends_has_its_answer(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (node,), _), program.connect() as conn:
+    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
-        conn.sendall(b"".join(job("pay", b"x", wait_ms=60_000) for _ in range(60)) + HEALTH + job("odd"))
-        until(lambda: len(node.got) == 1)
+        conn.sendall(
+            b"".join(request("pay", b"x", wait_ms=60_000) for _ in range(60)) + HEALTH + request("odd")
+        )
+        until(lambda: len(upstream.got) == 1)
         program.process.send_signal(signal.SIGTERM)
         found = codes_of(conn)
         assert len(found) == 62 and set(found[:60]) <= {500, 503} and found[60:] == [503, 400]
-        assert program.process.wait(WAIT) == 0 and program.last_counters()["owed"] == 0
+        assert program.process.wait(WAIT) == 0 and program.last_counters()["requests_unanswered"] == 0
 
 
 # --- in this process --------------------------------------------------------------------------------------
 
 
-class Desk(LateDesk):
+class Handler(LateDesk):
     """A sidecar that answers with the body, each time after ``take`` has returned if it is ``slow``."""
 
-    behind = False
+    overloaded = False
 
-    def __init__(self, slow: bool = False, faulty: Callable[[Job], bool] = lambda job: False) -> None:
+    def __init__(self, slow: bool = False, faulty: Callable[[Request], bool] = lambda request: False) -> None:
         self.slow, self.faulty = slow, faulty
         self.taken: list[str] = []
         self.budget = 0.0  # of the last one
 
-    def turn_away(self, session: Session, arrived: float, job_class: str, budget: float) -> float | None:
+    def shed_early(
+        self, session: ClientConnection, arrived: float, class_name: str, budget: float
+    ) -> float | None:
         return None
 
-    def take(self, session: Session, arrived: float, job: Job, task: Task) -> None:
-        if self.faulty(job):
+    def handle_request(
+        self, session: ClientConnection, arrived: float, request: Request, task: OutboundRequest
+    ) -> None:
+        if self.faulty(request):
             raise KeyError("a fault")
-        self.taken.append(job.id)
-        self.budget = job.budget
+        self.taken.append(request.id)
+        self.budget = request.budget
         if not self.slow:
-            session.answer(Final(Verdict.SERVED, 0.0, Reply(Outcome.SERVED, None, task.body)))
+            session.send_final_response(
+                FinalResponse(FinalStatus.SERVED, 0.0, UpstreamResponse(AttemptOutcome.OK, None, task.body))
+            )
 
 
-async def connected(desk: Desk) -> tuple[Session, socket.socket, Counters]:
+async def connected(handler: Handler) -> tuple[ClientConnection, socket.socket, Counters]:
     near, far = socket.socketpair()
     near.setblocking(False)
     counters = Counters("t")
     _, session = await asyncio.get_running_loop().create_connection(
-        lambda: Session(desk, counters), sock=near
+        lambda: ClientConnection(handler, counters), sock=near
     )
     return session, far, counters
 
@@ -250,42 +259,42 @@
 def test_fault_while_a_connection_is_read_leaves_what_came_before_to_be_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def faulty(method: bytes, *args: Any) -> tuple[Job, Task]:
+    def faulty(method: bytes, *args: Any) -> tuple[Request, OutboundRequest]:
         if method == b"PUT":
             raise KeyError("a fault")
-        return read_job(method, *args)
+        return read_request(method, *args)
 
-    monkeypatch.setattr("indigokeel.net.request_reader.read_job", faulty)
+    monkeypatch.setattr("indigokeel.net.downstream.request_parser.read_request", faulty)
 
     async def play() -> tuple[list[bytes], Counters]:
-        _, far, counters = await connected(Desk())
+        _, far, counters = await connected(Handler())
         far.sendall(PAY + LAST + PAY.replace(b"POST", b"PUT") + PAY)
         return await read_to_the_end(far), counters
 
     codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
-    assert codes == [b"200", b"200", b"500"] and counters["session_faults"] == 1
+    assert codes == [b"200", b"200", b"500"] and counters["client_connection_faults"] == 1
 
 
 def test_fault_in_one_connection_answers_what_was_read() -> None:
-    raws = [job("pay", b"%d" % number) for number in range(5)]
+    raws = [request("pay", b"%d" % number) for number in range(5)]
     third = re.search(rb"Request-Id: (\w+)", raws[2])
     assert third is not None
-    desk = Desk(faulty=lambda job: job.id == third[1].decode())
+    handler = Handler(faulty=lambda request: request.id == third[1].decode())
 
     async def play() -> tuple[list[bytes], Counters]:
-        _, far, counters = await connected(desk)
+        _, far, counters = await connected(handler)
         far.sendall(b"".join(raws) + HEALTH)
         return await read_to_the_end(far), counters
 
     codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
     assert codes == [b"200"] * 2 + [b"500"] * 4
-    assert (counters["session_faults"], len(desk.taken)) == (1, 2)
+    assert (counters["client_connection_faults"], len(handler.taken)) == (1, 2)
 
 
-@pytest.mark.parametrize("small", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", job("pay", b"x")])
+@pytest.mark.parametrize("small", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
 def test_what_is_read_ahead_is_bounded_however_much_comes_at_once(small: bytes) -> None:
     async def play() -> tuple[int, bool]:
-        session, far, _ = await connected(Desk(slow=True))
+        session, far, _ = await connected(Handler(slow=True))
         far.setblocking(False)
         sent = far.send(PAY + small * (200_000 // len(small)))
         most = 0
@@ -293,7 +302,7 @@
             await asyncio.sleep(0)
             waiting = session._pipeline
             most = max(most, len(waiting._requests))
-        assert sent > 50_000 and session.unread()
+        assert sent > 50_000 and session.has_unread_input()
         paused = session._flow.paused > 0.0
         far.close()
         await asyncio.sleep(0.01)
@@ -305,18 +314,18 @@
 
 def test_request_that_came_while_nothing_was_read_has_no_more_time_than_its_client() -> None:
     async def play() -> list[float]:
-        desk, budgets = Desk(slow=True), []
-        session, far, _ = await connected(desk)
-        far.sendall(b"".join(job("pay", b"x") for _ in range(1 + MOST_AHEAD)))
+        handler, budgets = Handler(slow=True), []
+        session, far, _ = await connected(handler)
+        far.sendall(b"".join(request("pay", b"x") for _ in range(1 + MOST_AHEAD)))
         while not session._flow.paused:
             await asyncio.sleep(0.001)
-        far.sendall(job("pay", b"late"))
+        far.sendall(request("pay", b"late"))
         await asyncio.sleep(0.2)
         for number in range(1, 3 + MOST_AHEAD):
-            while len(desk.taken) < number:
+            while len(handler.taken) < number:
                 await asyncio.sleep(0.001)
-            budgets.append(desk.budget)
-            session.answer(Final(Verdict.SERVED))
+            budgets.append(handler.budget)
+            session.send_final_response(FinalResponse(FinalStatus.SERVED))
         far.close()
         return budgets
 
@@ -338,11 +347,11 @@
 
 
 @pytest.mark.parametrize(
-    "sent", [b"", PAY, PAY[:-1], job("odd"), b"noise\r\n\r\n", job("pay", LONG)[:100_000]]
+    "sent", [b"", PAY, PAY[:-1], request("odd"), b"noise\r\n\r\n", request("pay", LONG)[:100_000]]
 )
 def test_connection_that_is_gone_is_let_go_without_the_collector(sent: bytes) -> None:
-    async def play() -> weakref.ref[Session]:
-        session, far, _ = await connected(Desk())
+    async def play() -> weakref.ref[ClientConnection]:
+        session, far, _ = await connected(Handler())
         found = weakref.ref(session)
         far.sendall(sent)
         await asyncio.sleep(0.01)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program on real sockets, with scripted peers: the life of a job, the four rules, its end."""
+"""The program on real sockets, with scripted peers: the life of a request, the four rules, its end."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     ROOT,
     SETTINGS,
     WAIT,
-    Discovery,
+    DiscoveryClient,
     Message,
     entry,
     free_port,
-    job,
-    machine_list,
     ok,
+    parse_endpoint_list,
     read_answer,
+    request,
     running,
     start,
     status,
@@ -48,38 +48,42 @@
 
 def test_jobs_pass_on_unchanged_and_are_counted(tmp_path: Path) -> None:
     big = os.urandom(64 * 1024)
-    with running(tmp_path, echo) as (program, nodes, _):
-        code, answer = program.ask(job("order", big, 5000, "Idempotency-Key: k7\r\n", key="a/b?c=%20d"))
+    with running(tmp_path, echo) as (program, upstreams, _):
+        code, answer = program.ask(request("order", big, 5000, "Idempotency-Key: k7\r\n", key="a/b?c=%20d"))
         assert (code, answer.body) == (200, big)
-        until(lambda: program.counters()["node_connections_idle"] == 1)
-        assert program.ask(job("view"))[1].body == b"none"
-        first, second = nodes[0].got
+        until(lambda: program.counters()["upstream_connections_idle"] == 1)
+        assert program.ask(request("view"))[1].body == b"none"
+        first, second = upstreams[0].got
         assert first.line == "POST /order/a/b?c=%20d HTTP/1.1" and first.body == big
         assert first.headers["idempotency-key"] == "k7" and len(first.headers["request-id"]) == 16
         assert 0 < int(first.headers["request-timeout-ms"]) <= 5000
         assert "content-length" not in second.headers and second.line.startswith("GET ")
         counters = program.counters()
-        assert (counters["jobs_taken"], counters["claims_sent"], counters["answers_written"]) == (2, 2, 2)
+        assert (counters["requests_accepted"], counters["attempts_sent"], counters["answers_written"]) == (
+            2,
+            2,
+            2,
+        )
         # One connection served both.
-        assert counters["node_connections"] == 1
+        assert counters["upstream_connections"] == 1
 
 
 def test_framings_pipelining_and_split_reads(tmp_path: Path) -> None:
-    with running(tmp_path, echo) as (program, nodes, _), program.connect() as conn:
-        chunked = job("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET ", b"POST ")
+    with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
+        chunked = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET ", b"POST ")
         file = conn.makefile("rb")
-        conn.sendall(job("pay", b"one") + chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+        conn.sendall(request("pay", b"one") + chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
         assert read_answer(file)[1].body == b"one" and read_answer(file)[1].body == b"abc"
-        for byte in job("pay", b"xyz"):
+        for byte in request("pay", b"xyz"):
             conn.sendall(bytes([byte]))
         assert read_answer(file)[1].body == b"xyz"
-        conn.sendall(job("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
+        conn.sendall(request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
         assert file.readline().startswith(b"HTTP/1.1 100") and file.readline() == b"\r\n"
         conn.sendall(b"late")
         assert read_answer(file)[1].body == b"late"
-        conn.sendall(job(more="Connection: close\r\n"))
+        conn.sendall(request(more="Connection: close\r\n"))
         assert read_answer(file)[0] == 200 and file.read() == b""
-        assert len(nodes[0].got) == 5
+        assert len(upstreams[0].got) == 5
 
 
 @pytest.mark.parametrize(
@@ -88,19 +92,19 @@
         (b"garbage\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 40_000, 431),
         (b"POST /pay/1 HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400),
-        (job("pay", b"z").replace(b"Length: 1\r", b"Length: 42000000\r"), 413),
-        (job("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + b"zz\r\n", 400),
-        (job("pay", b"0\r\n\r\n" + job("pay", b"in"), more="Transfer-Encoding: chunked\r\n"), 400),
+        (request("pay", b"z").replace(b"Length: 1\r", b"Length: 42000000\r"), 413),
+        (request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + b"zz\r\n", 400),
+        (request("pay", b"0\r\n\r\n" + request("pay", b"in"), more="Transfer-Encoding: chunked\r\n"), 400),
     ],
 )
 def test_malformed_messages_are_told_and_the_connection_closed(tmp_path: Path, raw: bytes, code: int) -> None:
-    with running(tmp_path, echo) as (program, nodes, _):
+    with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(raw)
             file = conn.makefile("rb")
             assert read_answer(file)[0] == code and file.read() == b""
         assert program.ask(b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 400
-        assert nodes[0].got == [] and program.ask(job())[0] == 200
+        assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -123,11 +127,11 @@
 def test_bad_answer_of_a_node_is_an_ending_and_is_not_sent_again(
     tmp_path: Path, answer: bytes | None, code: int
 ) -> None:
-    """Rule 2: only the node's own word proves that an unsafe job has not run."""
+    """Rule 2: only the upstream's own word proves that an unsafe request has not run."""
 
-    with running(tmp_path, lambda message: answer) as (program, nodes, _):
-        assert program.ask(job("pay", b"x", 400))[0] == code
-        assert len(nodes[0].got) == 1 and program.process.poll() is None
+    with running(tmp_path, lambda message: answer) as (program, upstreams, _):
+        assert program.ask(request("pay", b"x", 400))[0] == code
+        assert len(upstreams[0].got) == 1 and program.process.poll() is None
 
 
 @pytest.mark.parametrize("ahead", [b"", b"HTTP/1.1 102 Processing\r\n\r\n" * 3])
@@ -137,15 +141,15 @@
 ) -> None:
     with running(tmp_path, lambda m: ahead + ok(m.body) + behind) as (program, _, _d):
         for body in (b"first", b"second", b"third"):
-            code, answer = program.ask(job("pay", body))
+            code, answer = program.ask(request("pay", body))
             assert (code, answer.body) == (200, body)
-        assert program.counters()["node_connections"] == 3
+        assert program.counters()["upstream_connections"] == 3
 
 
 def test_turned_away_job_is_served_elsewhere(tmp_path: Path) -> None:
     turned = status(503, "Not-Started: 1\r\n")
     with running(tmp_path, lambda m: turned, echo, lambda m: turned) as (program, _, _d):
-        got = [program.ask(job("pay", b"x", 600))[0] for _ in range(8)]
+        got = [program.ask(request("pay", b"x", 600))[0] for _ in range(8)]
         assert 200 in got and set(got) <= {200, 503}
 
 
@@ -155,67 +159,67 @@
             conn = stack.enter_context(socket.socket())
             conn.setblocking(False)
             conn.connect_ex(silent.getsockname())
-        with running(tmp_path, echo) as (program, nodes, discovery):
+        with running(tmp_path, echo) as (program, upstreams, discovery):
             gone = entry("s-9", silent.getsockname()[1])
-            both = machine_list(entry("s-0", nodes[0].port), gone, index=2)
+            both = parse_endpoint_list(entry("s-0", upstreams[0].port), gone, index=2)
             discovery.push(json.dumps(both).encode())
-            until(lambda: program.counters().get("machine_lists") == 1)
-            codes = [program.ask(job("pay", b"x", 240))[0] for _ in range(30)]
-            assert set(codes) == {200} and program.counters()["claim_no_connection"] > 0
+            until(lambda: program.counters().get("endpoint_lists") == 1)
+            codes = [program.ask(request("pay", b"x", 240))[0] for _ in range(30)]
+            assert set(codes) == {200} and program.counters()["attempt_no_connection"] > 0
 
 
 def test_rule_1_hung_nodes_do_not_hold_the_answer_past_the_deadline(tmp_path: Path) -> None:
     with running(tmp_path, hang, hang) as (program, _, _d):
-        assert program.ask(job("pay", b"x", 300))[0] == 500
-        assert program.counters()["claim_given_up"] == 1
+        assert program.ask(request("pay", b"x", 300))[0] == 500
+        assert program.counters()["attempt_cancelled"] == 1
 
 
 def test_rule_3_nothing_goes_to_a_node_that_drains(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo) as (program, nodes, discovery):
-        drained = machine_list(entry("s-0", nodes[0].port, "Terminating"), index=2, whole=False)
+    with running(tmp_path, echo, echo) as (program, upstreams, discovery):
+        drained = parse_endpoint_list(entry("s-0", upstreams[0].port, "Terminating"), index=2, whole=False)
         discovery.push(json.dumps(drained).encode())
-        until(lambda: program.counters().get("machine_lists") == 1)
+        until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(12):
-            assert program.ask(job())[0] == 200
-        assert nodes[0].got == [] and len(nodes[1].got) == 12
-        discovery.push(json.dumps(machine_list(index=3)).encode())
+            assert program.ask(request())[0] == 200
+        assert upstreams[0].got == [] and len(upstreams[1].got) == 12
+        discovery.push(json.dumps(parse_endpoint_list(index=3)).encode())
         until(lambda: program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503)
 
 
 def test_rule_4_a_fresh_node_gets_less(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo) as (program, nodes, discovery):
-        fresh = entry("s-9", nodes[0].port, since_ms=int(time.time() * 1000))
-        old = entry("s-1", nodes[1].port)
-        discovery.push(json.dumps(machine_list(fresh, old, index=2)).encode())
-        until(lambda: program.counters().get("machine_lists") == 1)
+    with running(tmp_path, echo, echo) as (program, upstreams, discovery):
+        fresh = entry("s-9", upstreams[0].port, since_ms=int(time.time() * 1000))
+        old = entry("s-1", upstreams[1].port)
+        discovery.push(json.dumps(parse_endpoint_list(fresh, old, index=2)).encode())
+        until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(60):
-            assert program.ask(job())[0] == 200
-        assert 0 < len(nodes[0].got) < 25
+            assert program.ask(request())[0] == 200
+        assert 0 < len(upstreams[0].got) < 25
 
 
 def test_watch_that_ends_or_cannot_be_read_is_asked_for_again(tmp_path: Path) -> None:
-    with running(tmp_path, echo) as (program, nodes, discovery):
+    with running(tmp_path, echo) as (program, upstreams, discovery):
         discovery.push(b"")
         discovery.push(b"{not json")
         until(lambda: len(discovery.watches) == 2)
-        changed = machine_list(entry("s-0", nodes[0].port), index=9, whole=False)
+        changed = parse_endpoint_list(entry("s-0", upstreams[0].port), index=9, whole=False)
         discovery.push(json.dumps(changed).encode())
-        until(lambda: program.counters().get("machine_lists") == 1)
+        until(lambda: program.counters().get("endpoint_lists") == 1)
         discovery.watches[-1].shutdown(socket.SHUT_RDWR)
         until(lambda: len(discovery.watches) == 3)
         assert discovery.got[-1].line == "GET /catalog/members?watch=1&after=9 HTTP/1.1"
-        assert program.ask(job())[0] == 200 and program.counters()["watches_ended"] == 2
+        assert program.ask(request())[0] == 200 and program.counters()["watches_ended"] == 2
 
 
 def test_sighup_that_comes_as_the_file_is_read_is_taken_in_once_the_program_serves(tmp_path: Path) -> None:
     """The configuration is a pipe, so that the program stands at its first step; what takes its place
     moves discovery. Before, a SIGHUP then ended the program."""
-    old, new, path = Discovery(), Discovery(), tmp_path / "config.json"
+    old, new, path = DiscoveryClient(), DiscoveryClient(), tmp_path / "config.json"
     data = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "seed": "1",
-        "known": machine_list(),
+        "known": parse_endpoint_list(),
         "settings": SETTINGS,
         "discovery": f"127.0.0.1:{old.port}",
     }
@@ -249,7 +253,7 @@
 
 
 def test_sighup_moves_the_watch_and_an_unreadable_file_changes_nothing(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo) as (program, nodes, discovery):
+    with running(tmp_path, echo, echo) as (program, upstreams, discovery):
         until(lambda: len(discovery.watches) == 1)
         good = json.loads(program.config.read_text())
         bad = ("{", "{}", json.dumps({**good, "discovery": "nowhere"}))
@@ -260,16 +264,16 @@
             until(lambda told=number: program.log.read_text().count("stays as it was") == told)  # type: ignore[misc]
         until(lambda: program.counters()["reloads_failed"] == 3)
         for version in (2, 3):
-            newer = Discovery()
+            newer = DiscoveryClient()
             program.config.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{newer.port}"}))
             for _ in range(version):  # several at once are one move
                 program.process.send_signal(signal.SIGHUP)
             until(lambda: len(newer.watches) == 1)  # noqa: B023
             # The old watch ends once the new one is up, and that is no failure.
             assert discovery.watches[-1].recv(1) == b""
-            drained = entry("s-0", nodes[0].port, "Terminating" if version == 2 else "Ready")
-            newer.push(json.dumps(machine_list(drained, index=version, whole=False)).encode())
-            until(lambda: program.counters().get("machine_lists") == version - 1)  # noqa: B023
+            drained = entry("s-0", upstreams[0].port, "Terminating" if version == 2 else "Ready")
+            newer.push(json.dumps(parse_endpoint_list(drained, index=version, whole=False)).encode())
+            until(lambda: program.counters().get("endpoint_lists") == version - 1)  # noqa: B023
             discovery.close()
             discovery = newer
         counters = program.counters()
@@ -277,26 +281,26 @@
         program.process.send_signal(signal.SIGHUP)
         program.process.send_signal(signal.SIGTERM)
         program.process.send_signal(signal.SIGHUP)
-        assert program.ask(job())[0] == 200 and program.process.wait(WAIT) == 0
+        assert program.ask(request())[0] == 200 and program.process.wait(WAIT) == 0
         discovery.close()
 
 
 def test_submitter_that_leaves_is_noticed_while_its_job_runs(tmp_path: Path) -> None:
-    with running(tmp_path, hang) as (program, nodes, _):
+    with running(tmp_path, hang) as (program, upstreams, _):
         with program.connect() as conn:
-            conn.sendall(job("pay", b"x"))
-            until(lambda: len(nodes[0].got) == 1)
-            assert program.counters()["owed"] == 1
-        until(lambda: program.counters().get("submitters_left") == 1)
-        assert program.counters()["owed"] == 0
+            conn.sendall(request("pay", b"x"))
+            until(lambda: len(upstreams[0].got) == 1)
+            assert program.counters()["requests_unanswered"] == 1
+        until(lambda: program.counters().get("clients_disconnected") == 1)
+        assert program.counters()["requests_unanswered"] == 0
 
 
 def test_idle_connection_that_the_node_closed_is_not_used(tmp_path: Path) -> None:
-    with running(tmp_path, lambda message: b"!" + echo(message)) as (program, nodes, _):
+    with running(tmp_path, lambda message: b"!" + echo(message)) as (program, upstreams, _):
         for count in (1, 2):
-            assert program.ask(job("pay", b"x"))[0] == 200
-            until(lambda: nodes[0].closed == count)  # noqa: B023
-        assert program.counters()["node_connections"] == 2 and len(nodes[0].got) == 2
+            assert program.ask(request("pay", b"x"))[0] == 200
+            until(lambda: upstreams[0].closed == count)  # noqa: B023
+        assert program.counters()["upstream_connections"] == 2 and len(upstreams[0].got) == 2
 
 
 def test_running_out_of_descriptors_is_survived(tmp_path: Path) -> None:
@@ -308,11 +312,11 @@
             for _ in range(20):
                 stack.enter_context(program.connect())
             # Those over the bound are closed, whether it was met on accept or before.
-            until(lambda: program.counters()["submitter_connections_open"] < 20)
+            until(lambda: program.counters()["client_connections_open"] < 20)
 
         def served() -> bool:
             with contextlib.suppress(OSError):
-                return program.ask(job())[0] == 200
+                return program.ask(request())[0] == 200
             return False
 
         until(served)
@@ -323,22 +327,22 @@
     with running(tmp_path, echo, sockets=40) as (program, _, _d), contextlib.ExitStack() as stack:
         worker = stack.enter_context(program.connect())
         file = worker.makefile("rb")
-        worker.sendall(job())
+        worker.sendall(request())
         assert read_answer(file)[0] == 200
         crowd = [stack.enter_context(program.connect()) for _ in range(12)]
         for conn in crowd[8:]:
             conn.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         assert crowd[0].recv(1) == b""
-        worker.sendall(job())
+        worker.sendall(request())
         assert read_answer(file)[0] == 200
-        assert program.counters()["submitter_connections_open"] <= 8
+        assert program.counters()["client_connections_open"] <= 8
 
 
 def test_message_that_grows_keeps_its_place_before_those_that_do_not(tmp_path: Path) -> None:
-    """Found on days with crowds: a true job written for 2 s was closed for a newcomer after 0.5 s."""
+    """Found on days with crowds: a true request written for 2 s was closed for a newcomer after 0.5 s."""
     with running(tmp_path, echo, sockets=40) as (program, _, _d), contextlib.ExitStack() as stack:
         slow = stack.enter_context(program.connect())
-        raw = job("pay", b"x")
+        raw = request("pay", b"x")
         for at in range(10):  # the oldest of all, and longer under way than any
             slow.sendall(raw[at * 9 : at * 9 + 9])
             conn = stack.enter_context(program.connect())
@@ -346,7 +350,7 @@
             time.sleep(0.12)
         slow.sendall(raw[90:])
         assert read_answer(slow.makefile("rb"))[0] == 200
-        assert program.counters()["submitters_shed"] >= 1
+        assert program.counters()["clients_evicted"] >= 1
 
 
 @pytest.mark.parametrize(
@@ -354,25 +358,25 @@
     [
         (b"", b""),
         (b"GET /view/1 HTTP/1.1\r\nHost:", b"HTTP/1.1 408 "),
-        (job("pay", b"x" * 9)[:-3], b"HTTP/1.1 408 "),
+        (request("pay", b"x" * 9)[:-3], b"HTTP/1.1 408 "),
         (
             b"POST /pay/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 300_000,
             b"HTTP/1.1 413 ",
         ),
-        (job("pay", b"", more="Transfer-Encoding: chunked\r\n"), b"HTTP/1.1 400 "),
+        (request("pay", b"", more="Transfer-Encoding: chunked\r\n"), b"HTTP/1.1 400 "),
         (b"GET /view/1 HTTP/1.1\r\n" + b"A: b\r\n" * 20_000, b"HTTP/1.1 431 "),
-        (job(wait_ms=-5), b"HTTP/1.1 400 "),
-        (job("odd"), b"HTTP/1.1 400 "),
+        (request(wait_ms=-5), b"HTTP/1.1 400 "),
+        (request("odd"), b"HTTP/1.1 400 "),
     ],
 )
 def test_bad_submitters_get_an_error_or_a_close_within_3_s(tmp_path: Path, raw: bytes, told: bytes) -> None:
-    with running(tmp_path, echo) as (program, nodes, _), program.connect() as conn:
+    with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         began, got = time.monotonic(), b""
         with contextlib.suppress(ConnectionError):
             conn.sendall(raw)
             while data := conn.recv(1000):
                 got += data
-        assert time.monotonic() - began < 3.0 and got.startswith(told) and nodes[0].got == []
+        assert time.monotonic() - began < 3.0 and got.startswith(told) and upstreams[0].got == []
 
 
 def test_answers_end_their_connection_when_submitters_hold_many(tmp_path: Path) -> None:
@@ -381,7 +385,7 @@
         ended = []
         for _ in range(16):
             file = stack.enter_context(program.connect())
-            file.sendall(job())
+            file.sendall(request())
             ended.append(read_answer(file.makefile("rb"))[1].headers.get("connection") == "close")
         assert ended == [False] * 10 + [True] * 6
 
@@ -393,18 +397,22 @@
         go.wait(WAIT)
         return echo(message)
 
-    with running(tmp_path, slow) as (program, nodes, _), program.connect() as idle, program.connect() as conn:
-        conn.sendall(job("pay", b"x", 15_000))
-        until(lambda: len(nodes[0].got) == 1)
+    with (
+        running(tmp_path, slow) as (program, upstreams, _),
+        program.connect() as idle,
+        program.connect() as conn,
+    ):
+        conn.sendall(request("pay", b"x", 15_000))
+        until(lambda: len(upstreams[0].got) == 1)
         program.process.send_signal(signal.SIGTERM)
-        # The idle connection is closed once nothing new is taken; the job's is not.
+        # The idle connection is closed once nothing new is taken; the request's is not.
         assert idle.recv(1) == b""
         go.set()
         code, answer = read_answer(conn.makefile("rb"))
         assert (code, answer.body, answer.headers["connection"]) == (200, b"x", "close")
         assert program.process.wait(WAIT) == 0
         counters = program.last_counters()
-        assert (counters["owed"], counters["jobs_served"]) == (0, 1)
+        assert (counters["requests_unanswered"], counters["requests_served"]) == (0, 1)
 
 
 @pytest.mark.parametrize("text", [None, "", "{}", "[1]", '{"listen":"x"}'])
@@ -434,11 +442,11 @@
             program.process.send_signal(signal.SIGCONT)
             with program.connect() as conn, conn.makefile("rb") as file:
                 for _ in range(20):
-                    conn.sendall(job(wait_ms=200))
+                    conn.sendall(request(wait_ms=200))
                     code, message = read_answer(file)
-                    if code == 503 and program.counters().get("jobs_turned_away", 0):
+                    if code == 503 and program.counters().get("requests_shed_early", 0):
                         return message.headers["retry-after"] == "0.250"
             return False
 
         until(refused)
-        until(lambda: program.ask(job())[0] == 200)
+        until(lambda: program.ask(request())[0] == 200)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -13,15 +13,15 @@
 
 import pytest
 
-from indigokeel.facade import Facade
-from indigokeel.net import sidecar
-from indigokeel.net.client_connections import ClientConnections
-from indigokeel.net.counters import Counters
-from indigokeel.net.lifecycle import ShutdownTimes
-from indigokeel.net.listener import ClientListener
-from indigokeel.net.management import Management
-from indigokeel.net.submitters import Session
-from tests.peers import SETTINGS, WAIT, Message, Program, echo, job, read_answer, running, until
+from indigokeel.metrics import Counters
+from indigokeel.net.admin import AdminServer
+from indigokeel.net.downstream.client_connection import ClientConnection
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.net.downstream.listener import ClientListener
+from indigokeel.process import sidecar
+from indigokeel.process.shutdown import ShutdownTimes
+from indigokeel.requests.coordinator import RequestCoordinator
+from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_answer, request, running, until
 from tests.test_supervision import Fault, Running
 
 STARVED_S = 0.05  # a pause of the whole machine for so long says nothing of the program
@@ -63,7 +63,7 @@
                     if not self.threads[0].is_alive():
                         return
                     time.sleep(0.001)
-                message = job("pay", b"x" * 50)
+                message = request("pay", b"x" * 50)
                 cut = len(message) // 2 if self.halves else len(message)
                 self.sent.append(message.partition(b"Request-Id: ")[2][:16].decode())
                 self.conn.sendall(rest + message[:cut])
@@ -118,7 +118,7 @@
             stop.wait(WAIT)
         return echo(message)
 
-    with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, nodes, _):
+    with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, upstreams, _):
         shapes = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
         clients = [Client(program, *shape) for shape in shapes]
         until(lambda: all(client.answers >= 3 for client in clients))
@@ -137,11 +137,11 @@
         if code != 0:
             wrong.append(f"ended with {code}")
         answered = {name for client in clients for name in client.sent[: client.answers]}
-        seen = {message.headers["request-id"] for node in nodes for message in node.got}
+        seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.got}
         wrong += sorted(seen - answered)
         if code == 0:
             counters = program.last_counters()
-            read = counters["jobs_taken"] + counters.get("jobs_turned_away", 0)
+            read = counters["requests_accepted"] + counters.get("requests_shed_early", 0)
             if read != len(answered):
                 wrong.append(f"{read:.0f} read, {len(answered)} answered")
     return worst < STARVED_S, wrong
@@ -188,7 +188,7 @@
 
     async def script() -> None:
         with socket.create_connection(running.listener.getsockname(), timeout=WAIT) as conn:
-            first = job("pay", b"first")
+            first = request("pay", b"first")
             conn.sendall(first[:-1])  # half of it is here, so that the connection stays
             await asyncio.sleep(0.05)
             os.kill(os.getpid(), signal.SIGTERM)
@@ -197,7 +197,7 @@
             conn.sendall(first[-1:])
             code, answer = await asyncio.to_thread(read_answer, conn.makefile("rb"))
             assert code == 503 and answer.headers["connection"] == "close"
-            assert running.node.got == []
+            assert running.upstream.got == []
 
     running.play(script)
 
@@ -205,15 +205,15 @@
 # --- faults within the shutdown -----------------------------------------------------------------------------
 
 FAULTS: list[tuple[object, str]] = [
-    (Facade, "finish"),
-    (Facade, "tick"),
-    (Facade, "due"),
-    (ClientConnections, "__iter__"),
-    (Session, "idle"),
-    (Session, "close"),
-    (Session, "_end"),
+    (RequestCoordinator, "limit_deadlines"),
+    (RequestCoordinator, "tick"),
+    (RequestCoordinator, "next_deadline"),
+    (ClientRegistry, "__iter__"),
+    (ClientConnection, "is_idle"),
+    (ClientConnection, "close"),
+    (ClientConnection, "_end"),
     (ClientListener, "close"),
-    (Management, "close"),
+    (AdminServer, "close"),
     (sidecar.Sidecar, "_anything_owed"),
     (Counters, "dump"),
 ]
@@ -228,12 +228,12 @@
     monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
     monkeypatch.setattr(sidecar, "_HALF_READ", 0.0)
     running = Running(tmp_path, deadlines(0.5))
-    running.node.script = lambda message: b""
+    running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, owner, method, 0)
 
     async def script() -> None:
-        answer = asyncio.create_task(asyncio.to_thread(running.ask, job("pay", b"1")))
-        while not running.node.got or running.counters["submitter_connections"] < 2:
+        answer = asyncio.create_task(asyncio.to_thread(running.ask, request("pay", b"1")))
+        while not running.upstream.got or running.counters["client_connections"] < 2:
             await asyncio.sleep(0.001)
         fault.times = 10**6
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -16,17 +16,30 @@
 
 import pytest
 
-from indigokeel.decision import interface as api
-from indigokeel.decision import slow_start
-from indigokeel.decision.balancer import Balancer
+from indigokeel.balancing import slow_start
+from indigokeel.balancing.actions import SendAttempt, SendHealthCheck, SetTimer
+from indigokeel.balancing.balancer import Balancer
+from indigokeel.balancing.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    Event,
+    HealthCheckEnded,
+    LoadReport,
+    Member,
+    MembershipUpdate,
+    RequestArrived,
+    TimerFired,
+    UpdateKind,
+)
+from indigokeel.balancing.settings import Limits, LoadReportSource, Safety
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
 
 BEGIN = 1000.0  # clock time at which the fleet begins
 STARTED = 1003.0  # ... at which upstreams start cold, and every sidecar is told at once
 END = 1009.0
-SAFETY = api.Safety(cold_from=0.35, warm_within=8.8, tip_multiple=3.0, overload_for=1.5)
-STRICT = api.Safety(cold_from=0.3, warm_within=8.0, tip_multiple=1.5, overload_for=2.0)
-CLASSES = tuple(replace(cls, aim=0.4, deadline=0.8) for cls in (SAFE, KEYED, UNSAFE))
+SAFETY = Safety(warm_up_initial_ratio=0.35, warm_up_time=8.8, overload_multiple=3.0, overload_window=1.5)
+STRICT = Safety(warm_up_initial_ratio=0.3, warm_up_time=8.0, overload_multiple=1.5, overload_window=2.0)
+CLASSES = tuple(replace(cls, latency_objective=0.4, deadline=0.8) for cls in (SAFE, KEYED, UNSAFE))
 
 
 @dataclass(frozen=True)
@@ -38,13 +51,13 @@
     cold: int  # upstreams that start at STARTED
     capacity: float = 30.0  # requests of mean work a second that a warm upstream can do
     load: float = 0.7  # traffic, as a part of what the whole fleet can do when warm
-    safety: api.Safety = SAFETY
+    safety: Safety = SAFETY
     silent: int = 0  # upstreams that answer nothing from STARTED on
     failing: int = 0  # upstreams that answer with errors from STARTED on
     keys: int = 0  # keys that stay warm; asked for very unevenly
     work: bool = False  # requests differ in their work, and say so
     restarted: float = 0.3  # the part of the sidecars that are restarted half a second after STARTED
-    reports: api.Reports = api.Reports.ANSWERS
+    reports: LoadReportSource = LoadReportSource.ANSWERS
 
 
 def budget(expected: float) -> float:
@@ -70,15 +83,17 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed, self.random, self.now = scenario, seed, Random(seed), BEGIN
         self.settings = make_settings(
-            classes=CLASSES, safety=scenario.safety, sidecars=scenario.sidecars, reports=scenario.reports,
-            warm_keys=scenario.keys > 0, limits=api.Limits(max_attempts=5, probes=True),
-        )  # fmt: skip
+            classes=CLASSES,
+            safety=scenario.safety,
+            sidecars=scenario.sidecars,
+            load_report_source=scenario.reports,
+            key_affinity=scenario.keys > 0,
+            limits=Limits(max_attempts=5, health_checks=True),
+        )
         names = [f"s-{number}" for number in range(scenario.upstreams)]
         self.servers = {name: Server() for name in names}
         self.cold = names[: scenario.cold]
-        self.members = {
-            name: api.Member(name, f"z{i % 2}", f"k{i % 2}", i // 3) for i, name in enumerate(names)
-        }
+        self.members = {name: Member(name, f"z{i % 2}", f"k{i % 2}", i // 3) for i, name in enumerate(names)}
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._serial = itertools.count()
         self.requests: dict[str, tuple[float, int]] = {}  # work, and attempts so far
@@ -87,8 +102,8 @@
         self.incarnation = [0] * scenario.sidecars
 
     def balancer(self, me: int, seed: int) -> Balancer:
-        balancer = Balancer(replace(self.settings, me=me), self.seed * 1000 + seed)
-        balancer.handle(self.now, api.MembershipNews(api.News.CACHED, tuple(self.members.values())))
+        balancer = Balancer(replace(self.settings, instance_index=me), self.seed * 1000 + seed)
+        balancer.handle(self.now, MembershipUpdate(UpdateKind.CACHED, tuple(self.members.values())))
         return balancer
 
     def at(self, when: float, call: Callable[[], None]) -> None:
@@ -128,7 +143,7 @@
             self.servers[name].silent = True
         for name in others[self.scenario.silent :][: self.scenario.failing]:
             self.servers[name].failing = True
-        news = api.MembershipNews(api.News.DELTA, tuple(self.members[name] for name in self.cold))
+        news = MembershipUpdate(UpdateKind.DELTA, tuple(self.members[name] for name in self.cold))
         for me in range(self.scenario.sidecars):
             self.hand(me, news)
 
@@ -144,35 +159,40 @@
         key = f"key{int(self.scenario.keys * self.random.random() ** 3)}" if self.scenario.keys else ""
         self.requests[name] = (work, 0)
         hint = work / self.scenario.capacity if self.scenario.work else 0.0
-        self.hand(me, api.RequestArrived(name, cls.name, cls.deadline, key=key, hint=hint))
+        self.hand(me, RequestArrived(name, cls.name, cls.deadline, key=key, hint=hint))
 
-    def hand(self, me: int, event: api.Event, incarnation: int | None = None) -> None:
+    def hand(self, me: int, event: Event, incarnation: int | None = None) -> None:
         if incarnation is not None and incarnation != self.incarnation[me]:
             return  # the process is gone
         incarnation = self.incarnation[me]
         for action in self.balancers[me].handle(self.now, event):
-            if isinstance(action, api.Send):
+            if isinstance(action, SendAttempt):
                 self.attempt(me, incarnation, action)
-            elif isinstance(action, api.SetTimer):
-                fired = api.TimerFired(action.token)
+            elif isinstance(action, SetTimer):
+                fired = TimerFired(action.token)
                 self.at(self.now + action.delay, lambda fired=fired: self.hand(me, fired, incarnation))  # type: ignore[misc]
-            elif isinstance(action, api.Probe):
+            elif isinstance(action, SendHealthCheck):
                 self.servers[action.upstream].got.append((self.now, 1.0))
-                probed = api.ProbeEnded(action.upstream, api.Ending.OK, 0.01, self.report(action.upstream))
+                probed = HealthCheckEnded(
+                    action.upstream, AttemptOutcome.OK, 0.01, self.report(action.upstream)
+                )
                 self.at(self.now + 0.01, lambda probed=probed: self.hand(me, probed, incarnation))  # type: ignore[misc]
 
     def able(self, name: str) -> float:
         """Requests of mean work a second: the least that the settings promise."""
         safety, server = self.scenario.safety, self.servers[name]
         age = self.now - server.started if server.started else math.inf
-        part = min(safety.cold_from + (1.0 - safety.cold_from) * age / safety.warm_within, 1.0)
+        part = min(
+            safety.warm_up_initial_ratio + (1.0 - safety.warm_up_initial_ratio) * age / safety.warm_up_time,
+            1.0,
+        )
         return part * self.scenario.capacity
 
-    def report(self, name: str) -> api.Load:
+    def report(self, name: str) -> LoadReport:
         rate = len(self.servers[name].recent) / 0.5
-        return api.Load(rate=rate, utilisation=min(rate / self.able(name), 1.0))
+        return LoadReport(rate=rate, utilisation=min(rate / self.able(name), 1.0))
 
-    def attempt(self, me: int, incarnation: int, send: api.Send) -> None:
+    def attempt(self, me: int, incarnation: int, send: SendAttempt) -> None:
         server = self.servers[send.upstream]
         work, number = self.requests[send.id]
         self.requests[send.id] = (work, number + 1)
@@ -180,23 +200,25 @@
         while server.recent and server.recent[0] < self.now - 0.5:
             server.recent.popleft()
         full = len(server.recent) >= self.able(send.upstream) * 0.5
-        ending, took = api.Ending.OK, self.random.uniform(0.02, 0.08)
+        outcome, took = AttemptOutcome.OK, self.random.uniform(0.02, 0.08)
         if server.silent:
-            ending, took = api.Ending.TIMEOUT, send.timeout or 0.8
+            outcome, took = AttemptOutcome.TIMED_OUT, send.timeout or 0.8
         elif server.failing:
-            ending, took = api.Ending.ERROR, 0.005
+            outcome, took = AttemptOutcome.ERROR, 0.005
         elif full:
-            ending, took = api.Ending.REFUSED, 0.005
+            outcome, took = AttemptOutcome.REJECTED, 0.005
         else:
             server.recent.append(self.now)
 
         def end() -> None:
-            final = ending is api.Ending.OK
+            final = outcome is AttemptOutcome.OK
             self.served += final
             load = (
-                self.report(send.upstream) if final and self.scenario.reports is api.Reports.ANSWERS else None
+                self.report(send.upstream)
+                if final and self.scenario.reports is LoadReportSource.ANSWERS
+                else None
             )
-            ended = api.AttemptEnded(send.id, send.upstream, number, ending, took, final, load)
+            ended = AttemptEnded(send.id, send.upstream, number, outcome, took, final, load)
             self.hand(me, ended, incarnation)
 
         self.at(self.now + took, end)
@@ -209,15 +231,18 @@
             total = 0.0
             for when, work in self.servers[name].got:
                 age = when - STARTED
-                if age < 0.0 or age > safety.warm_within:
+                if age < 0.0 or age > safety.warm_up_time:
                     continue
                 inside.append((when, work))
                 total += work
-                while inside[0][0] < when - safety.overload_for:
+                while inside[0][0] < when - safety.overload_window:
                     total -= inside.popleft()[1]
-                first = max(age - safety.overload_for, 0.0)  # the least that it is allowed in the window
-                part = safety.cold_from + (1.0 - safety.cold_from) * first / safety.warm_within
-                allowed = safety.tip_multiple * part * self.scenario.capacity * safety.overload_for
+                first = max(age - safety.overload_window, 0.0)  # the least that it is allowed in the window
+                part = (
+                    safety.warm_up_initial_ratio
+                    + (1.0 - safety.warm_up_initial_ratio) * first / safety.warm_up_time
+                )
+                allowed = safety.overload_multiple * part * self.scenario.capacity * safety.overload_window
                 worst = max(worst, total / budget(allowed))
         return worst
 
@@ -229,12 +254,12 @@
     "half of four": replace(FEW, upstreams=4, cold=2),
     "all, a strict rule": replace(FEW, safety=STRICT),
     "all, every sidecar restarted": replace(FEW, safety=STRICT, restarted=1.0),
-    "all, no reports": replace(FEW, safety=STRICT, reports=api.Reports.NONE),
+    "all, no reports": replace(FEW, safety=STRICT, reports=LoadReportSource.NONE),
     "three of five, overload": replace(FEW, cold=3, load=1.6),
     "one beside failing ones": replace(FEW, cold=1, failing=3),
     "one beside silent ones": replace(FEW, cold=1, silent=3),
     "two, uneven work": replace(FEW, cold=2, work=True),
-    "one, probed": replace(FEW, cold=1, reports=api.Reports.PROBES),
+    "one, probed": replace(FEW, cold=1, reports=LoadReportSource.HEALTH_CHECKS),
 }
 LARGE = {
     "all of sixty": (MANY, (1, 3)),
@@ -259,8 +284,8 @@
 
 @pytest.mark.parametrize("expected", [0.0, 0.4, 3.0, 12.0, 29.0, 30.0, 100.0, 400.0, 3000.0])
 @pytest.mark.parametrize("safety", [SAFETY, STRICT])
-def test_quota_of_a_sidecar_alone_is_within_the_budget(expected: float, safety: api.Safety) -> None:
-    capacity = expected / safety.tip_multiple / safety.overload_for
+def test_quota_of_a_sidecar_alone_is_within_the_budget(expected: float, safety: Safety) -> None:
+    capacity = expected / safety.overload_multiple / safety.overload_window
     assert 3 * slow_start.slot_quota(safety, capacity, share=1.0) <= budget(expected)
 
 
@@ -282,10 +307,12 @@
 
 def test_cold_upstream_is_not_probed() -> None:
     """A new one had been probed by nobody, so every sidecar probed it first."""
-    settings = make_settings(reports=api.Reports.PROBES, limits=api.Limits(probes=True))
+    settings = make_settings(
+        load_report_source=LoadReportSource.HEALTH_CHECKS, limits=Limits(health_checks=True)
+    )
     cold = replace(make_members(6)[0], started=1000.0)
     driver = Driver(settings, (cold, *make_members(6)[1:]))
-    probed = [probe.upstream for _ in range(40) for probe in of(driver.request()[1], api.Probe)]
+    probed = [probe.upstream for _ in range(40) for probe in of(driver.request()[1], SendHealthCheck)]
     assert probed and cold.id not in probed
 
 
@@ -297,4 +324,4 @@
         assert first == second
         for driver in drivers:
             driver.now += 0.02
-            driver.end(sends(first)[0], load=api.Load(rate=20.0 + number % 5, utilisation=0.6))
+            driver.end(sends(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -13,39 +13,39 @@
 
 import pytest
 
-from indigokeel import handover
-from indigokeel.cordons import Mark
-from indigokeel.facade import Facade
-from indigokeel.handover import Moment
-from indigokeel.net import handover_file, state_persistence
-from indigokeel.net.counters import Counters
-from indigokeel.net.handover_file import HandoverFiles
-from indigokeel.net.state_persistence import StatePersistence
+from indigokeel.endpoints.cordons import CordonRecord
+from indigokeel.hot_restart import snapshot, state_files
+from indigokeel.hot_restart.snapshot import ClockReading
+from indigokeel.hot_restart.state_files import StateFiles
+from indigokeel.metrics import Counters
+from indigokeel.process import state_persistence
+from indigokeel.process.state_persistence import StatePersistence
+from indigokeel.requests.coordinator import RequestCoordinator
 from tests.conftest import make_settings
 from tests.faulty_program import Faults
-from tests.peers import WAIT, Peer, Program, job, until
+from tests.peers import WAIT, Peer, Program, request, until
 from tests.test_clocks import site
 
-HERE = Moment(1000.0, "b1")
+HERE = ClockReading(1000.0, "b1")
 PREFIX = "indigokeel-n0.handover."
 ALWAYS = 10**9
 
 
 def _state(*out: str) -> bytes:
-    marks = (Mark(who, True, 900.0, sequence=number + 1) for number, who in enumerate(out))
-    return handover.encode(HERE, marks)
+    marks = (CordonRecord(who, True, 900.0, sequence=number + 1) for number, who in enumerate(out))
+    return snapshot.encode(HERE, marks)
 
 
-def _process(folder: Path) -> tuple[Facade, StatePersistence]:
-    facade, files = Facade(make_settings(), 1, 0.0), HandoverFiles(str(folder), "n0")
-    return facade, StatePersistence(files, facade, Counters("t"), lambda orders: None, lambda: 0)
+def _process(folder: Path) -> tuple[RequestCoordinator, StatePersistence]:
+    coordinator, files = RequestCoordinator(make_settings(), 1, 0.0), StateFiles(str(folder), "n0")
+    return coordinator, StatePersistence(files, coordinator, Counters("t"), lambda effects: None, lambda: 0)
 
 
 def _cordoned(folder: Path) -> set[str]:
     """What a process that starts finds to be out."""
-    facade, persistence = _process(folder)
+    coordinator, persistence = _process(folder)
     asyncio.run(persistence.restore())
-    return {mark.who for mark in facade.cordons.marks()}
+    return {mark.who for mark in coordinator.cordons.records()}
 
 
 GOOD = _state("s-0")
@@ -59,7 +59,7 @@
 def test_write_that_fails_costs_nothing_that_was_there(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, error: str, synced: bool
 ) -> None:
-    files = HandoverFiles(str(tmp_path), "n0")
+    files = StateFiles(str(tmp_path), "n0")
 
     def write(data: bytes) -> None:
         name = files.reserve()
@@ -89,7 +89,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against the cordon that a loss of power takes with a file whose bytes were never synced."""
-    files, calls = HandoverFiles(str(tmp_path), "n0"), list[str]()
+    files, calls = StateFiles(str(tmp_path), "n0"), list[str]()
 
     def watch(name: str, real: Callable[..., Any]) -> Callable[..., Any]:
         def called(*args: Any) -> Any:
@@ -113,9 +113,9 @@
 def test_files_of_others_stay_until_their_marks_are_stored_by_this_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover_file, "_KEPT", 0.0)
+    monkeypatch.setattr(state_files, "_KEPT", 0.0)
     monkeypatch.setattr(state_persistence, "_WRITE_INTERVAL_S", 0.0)
-    good, (facade, persistence) = tmp_path / (PREFIX + "5-5"), _process(tmp_path)
+    good, (coordinator, persistence) = tmp_path / (PREFIX + "5-5"), _process(tmp_path)
     good.write_bytes(GOOD)
 
     async def play() -> None:
@@ -139,7 +139,7 @@
             task.cancel()
 
     asyncio.run(play())
-    assert facade.cordons.marks() and _cordoned(tmp_path) == {"s-0"}
+    assert coordinator.cordons.records() and _cordoned(tmp_path) == {"s-0"}
 
 
 # --- what lies in the folder ------------------------------------------------------------------------------
@@ -151,7 +151,7 @@
     "zeros": bytes(len(GOOD)),
     "flipped": GOOD[:-3] + bytes([GOOD[-3] ^ 1]) + GOOD[-2:],
     "foreign": b"#!/bin/sh\n",
-    "large": b"x" * (handover.MOST + 1),
+    "large": b"x" * (snapshot.MOST + 1),
 }
 
 
@@ -188,7 +188,7 @@
     """How many of 40 requests go to an upstream."""
     had = len(upstream.got)
     for _ in range(40):
-        assert program.ask(job())[0] == 200
+        assert program.ask(request())[0] == 200
     return len(upstream.got) - had
 
 
@@ -256,9 +256,9 @@
 def test_state_is_written_though_what_others_left_cannot_be_merged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    files = HandoverFiles(str(tmp_path), "n0")
-    facade = Facade(make_settings(), 1, 0.0)
-    state = StatePersistence(files, facade, Counters("n0"), lambda orders: None, lambda: 1)
+    files = StateFiles(str(tmp_path), "n0")
+    coordinator = RequestCoordinator(make_settings(), 1, 0.0)
+    state = StatePersistence(files, coordinator, Counters("n0"), lambda effects: None, lambda: 1)
 
     def fail(now: float) -> list[str]:
         raise RuntimeError("unforeseen")
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -15,18 +15,18 @@
 import uvloop
 
 from indigokeel.config import load_config
-from indigokeel.facade import Facade
-from indigokeel.net import sidecar, supervision
-from indigokeel.net.client_connections import ClientConnections
-from indigokeel.net.connections import Audit
-from indigokeel.net.counters import Counters
-from indigokeel.net.discovery import Discovery
-from indigokeel.net.handover_file import HandoverFiles
-from indigokeel.net.management import Management
-from indigokeel.net.pool import Pool
-from indigokeel.net.state_persistence import StatePersistence
-from indigokeel.net.submitters import Session
-from indigokeel.net.supervision import Supervisor
+from indigokeel.hot_restart.state_files import StateFiles
+from indigokeel.metrics import Counters
+from indigokeel.net.admin import AdminServer
+from indigokeel.net.discovery import DiscoveryClient
+from indigokeel.net.downstream.client_connection import ClientConnection
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.net.upstream import DescriptorLeakDetector
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.process import sidecar, supervision
+from indigokeel.process.state_persistence import StatePersistence
+from indigokeel.process.supervision import Supervisor
+from indigokeel.requests.coordinator import RequestCoordinator
 from tests import peers
 from tests.peers import (
     OPERATORS,
@@ -36,9 +36,9 @@
     echo,
     entry,
     free_port,
-    job,
-    machine_list,
+    parse_endpoint_list,
     read_answer,
+    request,
 )
 
 PUSHED = {**SETTINGS, "membership-mode": "pushed"}
@@ -79,14 +79,14 @@
     """The sidecar in this process, on the product's event loop, with one upstream and discovery."""
 
     def __init__(self, tmp: Path, settings: dict[str, Any] = SETTINGS) -> None:
-        self.node, self.discovery = Peer(echo), peers.Discovery()
+        self.upstream, self.discovery = Peer(echo), peers.DiscoveryClient()
         self.path, self.mgmt = tmp / "config.json", free_port(OPERATORS)
         self.data = {
             "name": "n0",
             "listen": "127.0.0.1:1",  # not used: the listener is handed on
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "mgmt": f"{OPERATORS}:{self.mgmt}",
-            "known": machine_list(entry("s-0", self.node.port)),
+            "known": parse_endpoint_list(entry("s-0", self.upstream.port)),
             "settings": settings,
         }
         self.path.write_text(json.dumps(self.data))
@@ -112,11 +112,11 @@
             uvloop.run(both())
         finally:
             self.listener.close()
-            for peer in (self.node, self.discovery):
+            for peer in (self.upstream, self.discovery):
                 peer.close()
 
     async def serves(self) -> None:
-        assert await asyncio.to_thread(self.ask, job("view")) == 200
+        assert await asyncio.to_thread(self.ask, request("view")) == 200
 
     def ask(self, raw: bytes) -> int:
         with socket.create_connection(self.listener.getsockname(), timeout=WAIT) as conn:
@@ -134,19 +134,19 @@
 
 
 LOOPS: dict[str, tuple[object, str, dict[str, Any]]] = {
-    "housekeeping": (ClientConnections, "__iter__", SETTINGS),
-    "idle connections": (Pool, "retire", SETTINGS),
-    "audit": (Audit, "look", SETTINGS),
+    "housekeeping": (ClientRegistry, "__iter__", SETTINGS),
+    "idle connections": (UpstreamClient, "retire", SETTINGS),
+    "audit": (DescriptorLeakDetector, "look", SETTINGS),
     "state writer": (StatePersistence, "persist", SETTINGS),
-    "state file": (HandoverFiles, "write", SETTINGS),
-    "watch": (Discovery, "_keep_watching", SETTINGS),
-    "call of the watch": (Discovery, "_call", SETTINGS),
-    "word on the watch": (Facade, "list_failed", SETTINGS),
-    "watch on an agent": (Discovery, "_keep_watching", PUSHED),
-    "call to an agent": (Discovery, "_call", PUSHED),
-    "management": (Management, "listen", SETTINGS),
-    "beat": (Facade, "lagged", SETTINGS),
-    "probe": (Pool, "probe", PROBED),
+    "state file": (StateFiles, "write", SETTINGS),
+    "watch": (DiscoveryClient, "_keep_watching", SETTINGS),
+    "call of the watch": (DiscoveryClient, "_call", SETTINGS),
+    "word on the watch": (RequestCoordinator, "endpoint_watch_failed", SETTINGS),
+    "watch on an agent": (DiscoveryClient, "_keep_watching", PUSHED),
+    "call to an agent": (DiscoveryClient, "_call", PUSHED),
+    "management": (AdminServer, "listen", SETTINGS),
+    "beat": (RequestCoordinator, "sample_lag", SETTINGS),
+    "probe": (UpstreamClient, "probe", PROBED),
 }
 
 
@@ -155,7 +155,7 @@
     """Found by reading: one exception in housekeeping or the state writer ended that task for good."""
     owner, method, settings = LOOPS[name]
     if name == "word on the watch":  # which has to end for that
-        Fault(monkeypatch, Discovery, "_keep_watching", 3)
+        Fault(monkeypatch, DiscoveryClient, "_keep_watching", 3)
     running = Running(tmp_path, settings)
     fault = Fault(monkeypatch, owner, method, 2)
 
@@ -169,18 +169,18 @@
     assert running.counters["task_faults"] >= 1
 
 
-@pytest.mark.parametrize("method", ["tick", "due"])
+@pytest.mark.parametrize("method", ["tick", "next_deadline"])
 def test_timer_goes_on_after_an_exception(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
     """The upstream is silent, so that the one answer is the timer's work: the exceptions come before it."""
     running = Running(tmp_path)
-    running.node.script = lambda message: b""
-    fault = Fault(monkeypatch, Facade, method, 0)
+    running.upstream.script = lambda message: b""
+    fault = Fault(monkeypatch, RequestCoordinator, method, 0)
 
     async def script() -> None:
-        answer = asyncio.create_task(asyncio.to_thread(running.ask, job("pay", b"1", wait_ms=300)))
-        await until(lambda: len(running.node.got) == 1)
+        answer = asyncio.create_task(asyncio.to_thread(running.ask, request("pay", b"1", wait_ms=300)))
+        await until(lambda: len(running.upstream.got) == 1)
         fault.times = fault.calls + 3
         assert await answer == 500
 
@@ -193,15 +193,15 @@
 ) -> None:
     running = Running(tmp_path)
     seen: dict[int, int] = {}
-    look = Session.look
+    look = ClientConnection.check_timeouts
 
-    def faulty(session: Session, now: float) -> None:
+    def faulty(session: ClientConnection, now: float) -> None:
         seen[session.fd] = seen.get(session.fd, 0) + 1
         if session.fd == min(seen):
             raise UnforeseenError
         look(session, now)
 
-    monkeypatch.setattr(Session, "look", faulty)
+    monkeypatch.setattr(ClientConnection, "check_timeouts", faulty)
 
     async def script() -> None:
         address = running.listener.getsockname()
@@ -213,7 +213,10 @@
     running.play(script)
 
 
-@pytest.mark.parametrize(("owner", "method", "told"), [(Pool, "start", 500), (Session, "answer", 0)])
+@pytest.mark.parametrize(
+    ("owner", "method", "told"),
+    [(UpstreamClient, "start", 500), (ClientConnection, "send_final_response", 0)],
+)
 def test_order_that_raises_costs_its_request_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, told: int
 ) -> None:
@@ -224,7 +227,7 @@
 
     def ask() -> int:
         try:
-            return running.ask(job("pay", b"1"))
+            return running.ask(request("pay", b"1"))
         except ConnectionError:
             return 0
 
@@ -238,7 +241,7 @@
 
 @pytest.mark.parametrize(
     ("owner", "method"),
-    [(sidecar, "reload_config"), (Facade, "reconfigure"), (Pool, "reconfigure")],
+    [(sidecar, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "reconfigure")],
 )
 def test_reload_that_raises_changes_nothing_and_the_next_one_is_taken(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
@@ -247,13 +250,13 @@
     running = Running(tmp_path)
     old = running.sidecar.settings
     used: list[object] = []
-    reconfigure = Facade.reconfigure
+    reconfigure = RequestCoordinator.apply_settings
 
-    def record(facade: Facade, settings: Any) -> None:
-        reconfigure(facade, settings)
+    def record(coordinator: RequestCoordinator, settings: Any) -> None:
+        reconfigure(coordinator, settings)
         used.append(settings)
 
-    monkeypatch.setattr(Facade, "reconfigure", record)
+    monkeypatch.setattr(RequestCoordinator, "apply_settings", record)
     Fault(monkeypatch, owner, method, 1)
     classes = [{**cls, "deadline-s": 2.0} for cls in SETTINGS["classes"]]
     running.path.write_text(json.dumps({**running.data, "settings": {**SETTINGS, "classes": classes}}))
@@ -270,7 +273,7 @@
     running.play(script)
 
 
-@pytest.mark.parametrize(("owner", "method"), [(Counters, "dump"), (Audit, "look")])
+@pytest.mark.parametrize(("owner", "method"), [(Counters, "dump"), (DescriptorLeakDetector, "look")])
 def test_counters_that_cannot_be_printed_cost_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
 ) -> None:
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.peers import WAIT, Message, Peer, Program, Raw, echo, job, ok, read_answer, running, until
+from tests.peers import WAIT, Message, Peer, Program, Raw, echo, ok, read_answer, request, running, until
 from tests.test_shutdown import STARVED_S, Witness, deadlines
 
 DEADLINE_S = 0.5
@@ -53,7 +53,7 @@
 
     def _ask(self, conn: socket.socket, file: Any) -> bool:
         """One request; whether its connection is good for more."""
-        message = job(self._class, b"x", wait_ms=int(DEADLINE_S * 1000))
+        message = request(self._class, b"x", wait_ms=int(DEADLINE_S * 1000))
         name = message.partition(b"Request-Id: ")[2][:16].decode()
         began = time.monotonic()
         try:
@@ -134,7 +134,7 @@
 
 def flood(program: Program, ended: threading.Event) -> None:
     """Connections over and over that say nothing, send half, noise, or too much at once, and stay."""
-    kinds = [b"", job("view")[:-3], b"noise\r\n\r\n", job("view") * 12, job("view")]
+    kinds = [b"", request("view")[:-3], b"noise\r\n\r\n", request("view") * 12, request("view")]
     conns: list[socket.socket] = []
     for number in range(10**6):
         if ended.is_set():
@@ -175,8 +175,8 @@
 def play(tmp: Path, sound: int, upstream: str, trouble: Trouble) -> tuple[bool, list[object]]:
     """Trouble, then a shutdown within it. Whether the machine kept step, and what was wrong."""
     bad = UPSTREAMS.get(upstream, lambda: Peer(echo))
-    nodes: list[Any] = [echo] * sound + [bad(), bad()]
-    with running(tmp, *nodes, sockets=SOCKETS, settings=deadlines(DEADLINE_S)) as (program, peers, _):
+    upstreams: list[Any] = [echo] * sound + [bad(), bad()]
+    with running(tmp, *upstreams, sockets=SOCKETS, settings=deadlines(DEADLINE_S)) as (program, peers, _):
         clients = [SoundClient(program, ("pay", "view")[n % 2]) for n in range(SOUND_CLIENTS)]
         until(lambda: all(client.answered for client in clients))
         witness, ended = Witness(), threading.Event()
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -19,18 +19,18 @@
     BLOCK,
     SIZE,
     WAIT,
-    Discovery,
+    DiscoveryClient,
     Message,
     Peer,
     Program,
     Raw,
     echo,
     entry,
-    job,
     long_answer,
-    machine_list,
     operators,
+    parse_endpoint_list,
     read_answer,
+    request,
     rss,
     running,
     until,
@@ -40,10 +40,10 @@
 
 @contextlib.contextmanager
 def _platform(tmp: Path, *scripts: Any) -> Iterator[tuple[socket.socket, list[Peer], Any]]:
-    """A listening socket that the platform holds, execute nodes, and a call that starts a further process."""
-    nodes = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
-    discovery, programs = Discovery(), list[Program]()
-    known = machine_list(*(entry(f"s-{i}", node.port) for i, node in enumerate(nodes)))
+    """A listening socket that the platform holds, upstreams, and a call that starts a further process."""
+    upstreams = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
+    discovery, programs = DiscoveryClient(), list[Program]()
+    known = parse_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
 
         def start() -> Program:
@@ -51,12 +51,12 @@
             return programs[-1]
 
         try:
-            yield listener, nodes, start
+            yield listener, upstreams, start
         finally:
             for program in programs:
                 program.process.kill()
                 program.process.wait()
-            for peer in (*nodes, discovery):
+            for peer in (*upstreams, discovery):
                 peer.close()
 
 
@@ -64,16 +64,16 @@
     seen: list[int] = []
     numbers = iter(range(10**9))
 
-    def node(message: Message) -> bytes:
+    def upstream(message: Message) -> bytes:
         seen.append(int(message.body))
         return echo(message)
 
-    with _platform(tmp_path, node, node) as (listener, _, start):
+    with _platform(tmp_path, upstream, upstream) as (listener, _, start):
         address, stop = listener.getsockname(), threading.Event()
         wrong: list[Any] = []
         served: list[int] = []
 
-        def submitter(keep: bool) -> None:
+        def client(keep: bool) -> None:
             conn, file = None, None
             while not stop.is_set():
                 try:
@@ -81,7 +81,7 @@
                         conn = socket.create_connection(address, timeout=WAIT)
                         file = conn.makefile("rb")
                     number = next(numbers)
-                    conn.sendall(job("pay", b"%d" % number))
+                    conn.sendall(request("pay", b"%d" % number))
                     code, answer = read_answer(file)
                     # A machine that is behind may refuse: that one must not have run.
                     refused = code == 503 and "retry-after" in answer.headers
@@ -99,7 +99,7 @@
             if conn is not None:
                 conn.close()
 
-        workers = [threading.Thread(target=submitter, args=(keep,)) for keep in (True, False, True)]
+        workers = [threading.Thread(target=client, args=(keep,)) for keep in (True, False, True)]
         old = start()
         for worker in workers:
             worker.start()
@@ -119,7 +119,7 @@
 
 
 def test_cordon_holds_over_an_upgrade_and_is_told_both_ways(tmp_path: Path) -> None:
-    with _platform(tmp_path, echo, echo, echo) as (_, nodes, start):
+    with _platform(tmp_path, echo, echo, echo) as (_, upstreams, start):
         old = start()
         assert old.call("PUT", "cordon", "s-0") == 200
         new = start()
@@ -129,37 +129,37 @@
         assert old.call("PUT", "uncordon", "s-0") == 200
         until(lambda: new.counters()["cordoned"] == 1)
         old.process.send_signal(signal.SIGTERM)
-        had = len(nodes[1].got)
+        had = len(upstreams[1].got)
         for _ in range(20):
-            assert new.ask(job())[0] == 200
-        assert len(nodes[1].got) == had and old.process.wait(WAIT) == 0
+            assert new.ask(request())[0] == 200
+        assert len(upstreams[1].got) == had and old.process.wait(WAIT) == 0
 
 
 def test_cordon_holds_under_load_through_an_upgrade(tmp_path: Path) -> None:
-    with _platform(tmp_path, echo, echo, echo) as (listener, nodes, start):
+    with _platform(tmp_path, echo, echo, echo) as (listener, upstreams, start):
         address, stop, pause = listener.getsockname(), threading.Event(), threading.Event()
         resting, wrong = threading.Barrier(4), list[Any]()
 
-        def submitter() -> None:
+        def client() -> None:
             while not stop.is_set():
                 if pause.is_set():  # all stand still, then all go on
                     resting.wait(WAIT)
                     resting.wait(WAIT)
                 with socket.create_connection(address, timeout=WAIT) as conn:
-                    conn.sendall(job())
+                    conn.sendall(request())
                     code, answer = read_answer(conn.makefile("rb"))
                     if code != 200 and "retry-after" not in answer.headers:
                         wrong.append((code, answer))
 
-        workers = [threading.Thread(target=submitter) for _ in range(3)]
+        workers = [threading.Thread(target=client) for _ in range(3)]
         old = start()
         for worker in workers:
             worker.start()
-        until(lambda: len(nodes[0].got) > 5)
+        until(lambda: len(upstreams[0].got) > 5)
         assert old.call("PUT", "cordon", "s-0") == 200
         pause.set()
         resting.wait(WAIT)  # nothing is open: what went out before the yes has ended
-        had = len(nodes[0].got)
+        had = len(upstreams[0].got)
         pause.clear()
         resting.wait(WAIT)
         for _ in range(3):
@@ -167,9 +167,9 @@
             old.process.send_signal(signal.SIGTERM)
             assert old.process.wait(WAIT) == 0
             old = new
-        assert len(nodes[0].got) == had
+        assert len(upstreams[0].got) == had
         assert old.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: len(nodes[0].got) > had)
+        until(lambda: len(upstreams[0].got) > had)
         stop.set()
         for worker in workers:
             worker.join()
@@ -177,33 +177,33 @@
 
 
 def test_process_killed_before_its_yes_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
-    with _platform(tmp_path, echo, echo) as (listener, nodes, start):
+    with _platform(tmp_path, echo, echo) as (listener, upstreams, start):
         old = start()
         assert old.call("PUT", "cordon", "s-0") == 200
-        had = len(nodes[0].got)
+        had = len(upstreams[0].got)
         for wait in (0.0, 0.05, 0.1, 0.2):
             new = start_process(old.config, subprocess.DEVNULL, listener, **operators(tmp_path))
             time.sleep(wait)
             new.kill()
             new.wait()
             for _ in range(3):
-                assert old.ask(job())[0] == 200
-        assert len(nodes[0].got) == had and old.counters()["cordoned"] == 1
+                assert old.ask(request())[0] == 200
+        assert len(upstreams[0].got) == had and old.counters()["cordoned"] == 1
 
 
 def test_job_half_written_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
     with _platform(tmp_path, echo) as (_, _nodes, start):
         old = start()
         with old.connect() as conn, old.connect() as other:
-            raw = job("pay", b"late")
+            raw = request("pay", b"late")
             conn.sendall(raw[:-6])
-            until(lambda: old.counters()["submitter_connections_open"] == 2)
+            until(lambda: old.counters()["client_connections_open"] == 2)
             new = start()
             old.process.send_signal(signal.SIGTERM)
             until(lambda: "stopping" in old.log.read_text())
-            assert new.ask(job())[0] == 200
+            assert new.ask(request())[0] == 200
             conn.sendall(raw[-6:])
-            other.sendall(job())  # on a connection that stood idle as the signal came
+            other.sendall(request())  # on a connection that stood idle as the signal came
             for each in (conn, other):
                 code, answer = read_answer(each.makefile("rb"))
                 assert (code, answer.headers["connection"]) == (200, "close")
@@ -215,7 +215,7 @@
     with _platform(tmp_path, Raw(long_answer)) as (_, _nodes, start):
         old = start()
         with old.connect() as conn:
-            conn.sendall(job())
+            conn.sendall(request())
             file = conn.makefile("rb")
             while file.readline().strip():
                 pass
@@ -234,11 +234,13 @@
                 with contextlib.suppress(ConnectionError):
                     assert len(file.read()) < SIZE - len(BLOCK)
             last = old.last_counters()
-            assert last["owed"] == 0 and 0.0 < last["cpu_s"] < WAIT and new.process.poll() is None
+            assert (
+                last["requests_unanswered"] == 0 and 0.0 < last["cpu_s"] < WAIT and new.process.poll() is None
+            )
 
 
 def test_cordons_told_to_the_old_process_while_the_new_one_starts(tmp_path: Path) -> None:
-    with _platform(tmp_path, echo, echo) as (_, nodes, start):
+    with _platform(tmp_path, echo, echo) as (_, upstreams, start):
         old = start()
         for call, wait in zip(("cordon", "uncordon") * 2, (0.0, 0.1, 0.2, 0.3), strict=True):
             found: list[Program] = []
@@ -249,13 +251,13 @@
             starting.join()
             new = found[0]
             until(lambda one=new, out=call == "cordon": one.counters()["cordoned"] == out)  # type: ignore[misc]
-            had = len(nodes[0].got)
+            had = len(upstreams[0].got)
             old.process.send_signal(signal.SIGTERM)
-            assert {new.ask(job())[0] for _ in range(10)} == {200}
+            assert {new.ask(request())[0] for _ in range(10)} == {200}
             if call == "cordon":
-                assert len(nodes[0].got) == had
+                assert len(upstreams[0].got) == had
             else:
-                until(lambda one=new, n=had: one.ask(job())[0] == 200 and len(nodes[0].got) > n)  # type: ignore[misc]
+                until(lambda one=new, n=had: one.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
             assert old.process.wait(WAIT) == 0
             old = new
 
@@ -269,7 +271,7 @@
         else:
             file.write_bytes(left)
         program = start()
-        assert program.ask(job())[0] == 200
+        assert program.ask(request())[0] == 200
         assert program.log.read_text().count("nothing is taken over") == 1
         assert program.call("PUT", "cordon", "s-0") == 200 and program.counters()["cordoned"] == 1
 
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -1,5 +1,5 @@
 """What an attempt rests on is asked right before its first byte: the time left, its client, the list. The
-process is held up by force at a step before that, and the clock jumps; no verdict rests on real time."""
+process is held up by force at a step before that, and the clock jumps; no status rests on real time."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 import pytest
 import uvloop
 
+from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.config import decode_settings
-from indigokeel.facade import Facade
-from indigokeel.machine_list import machine_list
-from indigokeel.net import exchange, pool
-from indigokeel.net.bodies import Upload
-from indigokeel.net.counters import Counters
-from indigokeel.net.exchange import Reply, Task
-from indigokeel.orders import Claim, Job, Outcome
+from indigokeel.endpoints.endpoint_list import parse_endpoint_list
+from indigokeel.metrics import Counters
+from indigokeel.net.messages import OutboundRequest, UpstreamResponse
+from indigokeel.net.streams import RequestStream
+from indigokeel.net.upstream import client as upstream_client
+from indigokeel.net.upstream import response_parser
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Attempt, Request
 from tests import peers
 
 HELD_UP, BUDGET = 0.15, 50.0  # s
 CLASS = {"name": "view", "objective-s": 60.0, "deadline-s": 60.0, "effect": "safe"}
 SETTINGS = {**peers.SETTINGS, "classes": [CLASS]}
-CONNECT = 20.0  # s, so that a busy machine changes no verdict
+CONNECT = 20.0  # s, so that a busy machine changes no status
 WRITEV = os.writev
 
 
@@ -34,7 +36,7 @@
 
     def resume(self) -> None: ...
 
-    def left_by_now(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
@@ -42,7 +44,7 @@
     """A pool before one upstream, in a process that can be held up at a step of the way to a first byte."""
 
     def __init__(self, port: int) -> None:
-        self.facade = Facade(decode_settings(SETTINGS), 1, 0.0)
+        self.coordinator = RequestCoordinator(decode_settings(SETTINGS), 1, 0.0)
         self.port, self.names = port, ["s-0"]
         self.listed("Ready")
         self.now, self.limit = 100.0, 0.0  # the clock; when the client gives up
@@ -50,11 +52,11 @@
         self.hold_up_at, self.held_up = "", HELD_UP
         self.during: Callable[[], None] = lambda: None  # what comes to pass in the meantime
         self.written: list[tuple[float, float]] = []  # ms told on, and those that the client had left
-        self.done: list[Outcome] = []
+        self.done: list[AttemptOutcome] = []
 
     def listed(self, state: str) -> None:
         entries = [peers.entry(name, self.port, state) for name in self.names]
-        self.facade.listed(0.0, machine_list(peers.machine_list(*entries)))
+        self.coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
 
     def step(self, name: str) -> None:
         if self.sending and name == self.hold_up_at:
@@ -67,9 +69,9 @@
         self.step("clock")
         return now
 
-    def make_exchange(self) -> exchange.Exchange:
+    def make_exchange(self) -> response_parser.ResponseParser:
         self.step("exchange")
-        return exchange.Exchange()
+        return response_parser.ResponseParser()
 
     def left(self) -> bool:
         left = self.client_left
@@ -85,38 +87,38 @@
             self.written.append((float(value), (self.limit - self.now) * 1000.0))
         return WRITEV(fd, pieces)
 
-    def claim(self, kind: str) -> Claim:
+    def open_attempt(self, kind: str) -> Attempt:
         now = self.now
         self.limit = now + BUDGET
-        claim = self.facade.pick(now, Job(kind, "view", BUDGET, long=kind == "upload")).claims[0]
+        attempt = self.coordinator.pick(now, Request(kind, "view", BUDGET, long=kind == "upload")).attempts[0]
         if kind == "retry":
             self.names.append("s-1")
             self.listed("Ready")
-            claim = self.facade.report(now, claim, Outcome.TURNED_AWAY).claims[0]
-        return claim
+            attempt = self.coordinator.report(now, attempt, AttemptOutcome.REJECTED).attempts[0]
+        return attempt
 
-    async def attempt(self, carrier: pool.Pool, kind: str) -> None:
+    async def attempt(self, carrier: upstream_client.UpstreamClient, kind: str) -> None:
         """Carry out one attempt, and wait until nothing more happens to it."""
         self.done.clear()
         self.written.clear()
-        claim, source = self.claim(kind), Source()
-        task = Task(b"POST", b"/view/k", b"1", None, [], True, left=self.left)
+        attempt, source = self.open_attempt(kind), Source()
+        task = OutboundRequest(b"POST", b"/view/k", b"1", None, [], True, left=self.left)
         if kind == "upload":
-            task.upload = Upload(source, 4, [b"body"])
-            task.upload.whole = True
-        carrier.start(claim, task, lambda _, reply: self.ended(reply))
+            task.request_stream = RequestStream(source, 4, [b"body"])
+            task.request_stream.whole = True
+        carrier.start(attempt, task, lambda _, reply: self.ended(reply))
         for _ in range(400):
             await asyncio.sleep(0.001)
             if self.done or (not carrier.connections.waiting() and carrier.connections.idle()):
                 break
         await asyncio.sleep(0.02)  # a backoff, were there one
 
-    def ended(self, reply: Reply) -> None:
+    def ended(self, reply: UpstreamResponse) -> None:
         self.done.append(reply.outcome)
 
     def play(self, kind: str, hold_up_at: str = "", cannot_write: bool = False) -> None:
         async def inside() -> None:
-            carrier = pool.Pool(self.facade, Counters("t"), CONNECT, 30.0, 8)
+            carrier = upstream_client.UpstreamClient(self.coordinator, Counters("t"), CONNECT, 30.0, 8)
             if kind == "kept":  # on a connection that is up
                 await self.attempt(carrier, "before")
             self.hold_up_at, self.cannot_write = hold_up_at, cannot_write
@@ -128,8 +130,8 @@
 
 @pytest.fixture
 def process(monkeypatch: pytest.MonkeyPatch) -> Iterator[Process]:
-    node = peers.Peer(peers.echo)
-    made, send = Process(node.port), pool.Pool._send
+    upstream = peers.Peer(peers.echo)
+    made, send = Process(upstream.port), upstream_client.UpstreamClient._send
 
     def sending(*args: Any) -> None:
         made.sending = True
@@ -137,12 +139,12 @@
         send(*args)
         made.sending = False
 
-    monkeypatch.setattr(pool.Pool, "_send", sending)
-    monkeypatch.setattr(pool, "time", made)
-    monkeypatch.setattr(pool, "Exchange", made.make_exchange)
+    monkeypatch.setattr(upstream_client.UpstreamClient, "_send", sending)
+    monkeypatch.setattr(upstream_client, "time", made)
+    monkeypatch.setattr(upstream_client, "ResponseParser", made.make_exchange)
     monkeypatch.setattr("os.writev", made.writev)
     yield made
-    node.close()
+    upstream.close()
 
 
 @pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
@@ -153,7 +155,7 @@
     """Never more than the client has left, but by a hold-up between the clock's reading and the write."""
     process.play(kind, step)
     ((told, left),) = process.written
-    assert told <= left + slack and process.done == [Outcome.SERVED]
+    assert told <= left + slack and process.done == [AttemptOutcome.OK]
 
 
 @pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
@@ -170,7 +172,7 @@
 def test_no_attempt_begins_in_a_backoff_after_its_client_left(process: Process, kind: str) -> None:
     """The write failed here, and the client left before it was made again. The attempt gets its ending."""
     process.play(kind, cannot_write=True)
-    assert process.written == [] and process.done == [Outcome.MOOT]
+    assert process.written == [] and process.done == [AttemptOutcome.NOT_SENT]
 
 
 @pytest.mark.parametrize("kind", ["first", "kept", "retry"])
@@ -179,23 +181,23 @@
     """It is over when the process goes on. Nothing was asked of the upstream, so it has not failed."""
     process.held_up = BUDGET
     process.play(kind, step)
-    assert process.written == [] and process.done == [Outcome.MOOT]
+    assert process.written == [] and process.done == [AttemptOutcome.NOT_SENT]
 
 
 def test_attempt_that_is_started_after_its_time_asks_for_no_connection(process: Process) -> None:
     async def inside() -> int:
-        carrier = pool.Pool(process.facade, Counters("t"), CONNECT, 30.0, 8)
-        claim = process.claim("late")
+        carrier = upstream_client.UpstreamClient(process.coordinator, Counters("t"), CONNECT, 30.0, 8)
+        attempt = process.open_attempt("late")
         process.now += BUDGET
-        task = Task(b"GET", b"/view/k", b"1", None, [], False)
-        carrier.start(claim, task, lambda _, reply: process.ended(reply))
+        task = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
+        carrier.start(attempt, task, lambda _, reply: process.ended(reply))
         found = carrier.open
         await asyncio.sleep(0.0)
         return found
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         assert runner.run(inside()) == 0
-    assert process.done == [Outcome.MOOT]
+    assert process.done == [AttemptOutcome.NOT_SENT]
 
 
 @pytest.mark.parametrize("kind", ["first", "kept", "retry", "upload"])
@@ -205,4 +207,4 @@
 ) -> None:
     process.during = lambda: process.listed("Terminating")
     process.play(kind, step)
-    assert process.written == [] and process.done == [Outcome.MOOT]
+    assert process.written == [] and process.done == [AttemptOutcome.NOT_SENT]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -14,23 +14,15 @@
 
 import pytest
 
-from indigokeel.decision.balancer import Balancer
-from indigokeel.decision.interface import (
-    ClassSettings,
-    Effect,
-    MembershipNews,
-    News,
-    Safety,
-    SetTimer,
-    Settings,
-    Subscribe,
-    TimerFired,
-)
-from indigokeel.machine_list import MachineList
-from indigokeel.net.counters import Counters
-from indigokeel.net.discovery import Discovery
+from indigokeel.balancing.actions import SetTimer, WatchEndpoints
+from indigokeel.balancing.balancer import Balancer
+from indigokeel.balancing.events import MembershipUpdate, TimerFired, UpdateKind
+from indigokeel.balancing.settings import ClassSettings, Idempotency, Safety, Settings
+from indigokeel.endpoints.endpoint_list import EndpointList
+from indigokeel.metrics import Counters
+from indigokeel.net.discovery import DiscoveryClient
 from tests import peers
-from tests.peers import entry, job, machine_list, ok, running, until
+from tests.peers import entry, ok, parse_endpoint_list, request, running, until
 
 BOUND = 6.0  # s after which what a silent watch misses counts as told
 LEFT = 2.5  # s of these that the next call needs at least: it waits in turn, and may be refused once
@@ -71,7 +63,7 @@
     ) -> None:
         self.loop = Clockwork()
         self.calls: list[float] = []
-        self.listed: list[MachineList] = []
+        self.listed: list[EndpointList] = []
         self.failed: list[float] = []
 
         async def connect(*_: object) -> tuple[asyncio.StreamReader, MagicMock]:
@@ -86,7 +78,7 @@
             return reader, MagicMock()
 
         monkeypatch.setattr(asyncio, "open_connection", connect)
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             ("a", 1), Counters("t"), self.listed.append, lambda: self.failed.append(self.loop.now)
         )
         self.discovery.pushed = pushed
@@ -156,7 +148,7 @@
     found = Watched(monkeypatch, beats(2.0, 20), beats(2.0, 20), pushed=True)
     asked: list[int] = []
 
-    def listed(news: MachineList) -> None:
+    def listed(news: EndpointList) -> None:
         asked.append(found.discovery.version)
         if len(asked) == 1:
             raise ZeroDivisionError
@@ -193,7 +185,7 @@
     assert 10 <= len(found.calls) <= 25
 
 
-LISTS = [machine_list(entry(f"s-{n}", 1000 + n), entry("s-9", 9000), index=n) for n in (1, 2, 3)]
+LISTS = [parse_endpoint_list(entry(f"s-{n}", 1000 + n), entry("s-9", 9000), index=n) for n in (1, 2, 3)]
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1, 4, "\t"])
@@ -206,7 +198,7 @@
     script += [(0.01 + at * 1e-6, chunk(body[at : at + size])) for at in range(0, len(body), size)]
     found = Watched(monkeypatch, script, beats(2.0, 20)).run(1.0)
     assert [news.version for news in found.listed] == [1, 2, 3]
-    assert [machine.name for machine in found.listed[2].machines] == ["s-3", "s-9"]
+    assert [endpoint.name for endpoint in found.listed[2].endpoints] == ["s-3", "s-9"]
 
 
 @pytest.mark.parametrize(
@@ -232,7 +224,7 @@
 # --- the program ------------------------------------------------------------------------------------------
 
 
-class Agent(peers.Discovery):
+class Agent(peers.DiscoveryClient):
     """Discovery that answers a watch only when it is let."""
 
     def __init__(self) -> None:
@@ -249,16 +241,16 @@
 
 
 def test_where_lists_are_pushed_the_program_watches(tmp_path: Path) -> None:
-    """Found on a deployment of our own: it never asked there, and sent on to nodes that drained."""
-    with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED) as (program, nodes, discovery):
+    """Found on a deployment of our own: it never asked there, and sent on to upstreams that drained."""
+    with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED) as (program, upstreams, discovery):
         until(lambda: bool(discovery.watches))
-        drained = entry("s-0", nodes[0].port, "Terminating")
-        discovery.push(json.dumps(machine_list(drained, index=2, whole=False)).encode())
-        until(lambda: program.counters()["machine_lists"] >= 1)
-        before = len(nodes[0].got)
+        drained = entry("s-0", upstreams[0].port, "Terminating")
+        discovery.push(json.dumps(parse_endpoint_list(drained, index=2, whole=False)).encode())
+        until(lambda: program.counters()["endpoint_lists"] >= 1)
+        before = len(upstreams[0].got)
         for _ in range(30):
-            assert program.ask(job())[1].body == b"1"
-        assert len(nodes[0].got) == before
+            assert program.ask(request())[1].body == b"1"
+        assert len(upstreams[0].got) == before
         # A watch that ends is opened anew, with no word of the module's.
         discovery.watches.pop().shutdown(socket.SHUT_RDWR)
         until(lambda: len(discovery.watches) == 1)
@@ -270,26 +262,26 @@
 
 
 def test_where_lists_are_pushed_the_old_list_alone_sends_nothing(tmp_path: Path) -> None:
-    """What the agent has binds from the first moment of a process on: a job that comes before its word waits
-    for that word. The answer of the agent is held back until the job is here."""
+    """What the agent has binds from the first moment of a process on: a request that comes before its word
+    waits for that word. The answer of the agent is held back until the request is here."""
     agent = Agent()
     with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED, discovery=agent, wait=False) as (
         program,
-        nodes,
+        upstreams,
         _,
     ):
         assert agent.asked.wait(peers.WAIT)
         until(program.ready)
         assert program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503
         with program.connect() as conn:
-            conn.sendall(job(wait_ms=20_000))
-            until(lambda: program.counters().get("jobs_taken", 0) == 1)
-            assert nodes[0].got == nodes[1].got == []
+            conn.sendall(request(wait_ms=20_000))
+            until(lambda: program.counters().get("requests_accepted", 0) == 1)
+            assert upstreams[0].got == upstreams[1].got == []
             agent.let.set()
-            drained = entry("s-0", nodes[0].port, "Terminating")
-            agent.push(json.dumps(machine_list(drained, index=2, whole=False)).encode())
+            drained = entry("s-0", upstreams[0].port, "Terminating")
+            agent.push(json.dumps(parse_endpoint_list(drained, index=2, whole=False)).encode())
             assert peers.read_answer(conn.makefile("rb"))[1].body == b"1"
-        assert nodes[0].got == [] and program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200
+        assert upstreams[0].got == [] and program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200
 
 
 def test_agent_that_stays_silent_does_not_keep_the_program_from_serving(tmp_path: Path) -> None:
@@ -297,27 +289,27 @@
     with running(tmp_path, ok_from(0), settings=PUSHED, discovery=agent) as (program, _, _d):
         begun = time.monotonic()
         until(lambda: program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200)
-        assert program.ask(job())[0] == 200 and time.monotonic() - begun < peers.WAIT
+        assert program.ask(request())[0] == 200 and time.monotonic() - begun < peers.WAIT
         agent.let.set()
 
 
-@pytest.mark.parametrize("ask_within", [2.0, 10.0, 600.0])
-def test_discovery_that_comes_back_is_asked_in_time_for_what_it_has(ask_within: float) -> None:
+@pytest.mark.parametrize("poll_within", [2.0, 10.0, 600.0])
+def test_discovery_that_comes_back_is_asked_in_time_for_what_it_has(poll_within: float) -> None:
     """However many calls failed, a change counts as told 6 s after discovery could be reached. A connect that
     began before that asks again after 1 s, and so lasts 1 s more at the most, of its 2, where it fails: that
     and the wait leave 2 s for the answer."""
     settings = Settings(
-        classes=(ClassSettings("view", aim=0.5, deadline=1.5, effect=Effect.SAFE),),
-        safety=Safety(ask_within=ask_within),
-        ask_membership=True,
+        classes=(ClassSettings("view", latency_objective=0.5, deadline=1.5, idempotency=Idempotency.SAFE),),
+        safety=Safety(poll_within=poll_within),
+        polls_membership=True,
     )
     for seed in range(20):
         balancer = Balancer(settings, seed)
         now, longest = 0.0, 0.0
         for _ in range(40):
-            actions = balancer.handle(now, MembershipNews(News.FAILED))
+            actions = balancer.handle(now, MembershipUpdate(UpdateKind.FAILED))
             (timer,) = [action for action in actions if isinstance(action, SetTimer)]
             longest, now = max(longest, timer.delay), now + timer.delay
             actions = balancer.handle(now, TimerFired(timer.token))
-            assert any(isinstance(action, Subscribe) for action in actions)
-        assert 0.5 * min(ask_within * 0.4, 2.9) < longest <= min(BOUND - 1.0 - 2.0, ask_within)
+            assert any(isinstance(action, WatchEndpoints) for action in actions)
+        assert 0.5 * min(poll_within * 0.4, 2.9) < longest <= min(BOUND - 1.0 - 2.0, poll_within)
