--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -202,17 +202,17 @@
         )
         self._idle_resets = self.connections.idle_resets
 
-    def reconfigure(self, connect_timeout: float, keepalive: float) -> None:
+    def apply_timeouts(self, connect_timeout: float, keepalive: float) -> None:
         """Take other times, in seconds, for what is opened or kept from now on."""
         self._connect_timeout = connect_timeout
-        self.connections.reconfigure(connect_timeout, keepalive * _IDLE_PART)
+        self.connections.apply_timeouts(connect_timeout, keepalive * _IDLE_PART)
 
     @property
     def open(self) -> int:
         """Connections that are opening, idle or in use."""
         return len(self.connections.table)
 
-    def start(self, attempt: Attempt, outbound: OutboundRequest, done: Done) -> None:
+    def send_attempt(self, attempt: Attempt, outbound: OutboundRequest, done: Done) -> None:
         """Carry an attempt through. ``done`` is called once, unless the attempt is given up before; never
         before this returns."""
         now = time.monotonic()
@@ -368,7 +368,7 @@
         self._counters.add(_ENDED[response.outcome])
         done(attempt, response)
 
-    def give_up(self, request: str, number: int) -> None:
+    def cancel_attempt(self, request: str, number: int) -> None:
         """Stop an attempt, and close its connection."""
         out = self._out.pop((request, number), None)
         if out is None:
@@ -392,9 +392,9 @@
                 if address is not None:
                     self.connections.warm(upstream, address)
 
-    def retire(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close connections that were idle for long."""
-        self.connections.retire(now)
+        self.connections.close_expired(now)
 
     async def probe(self, upstream: str) -> tuple[AttemptOutcome, dict[str, float] | None]:
         """Ask an upstream for its load, on a connection that stays for the next attempt or probe."""
--- a/indigokeel/net/upstream/connection_pool.py
+++ b/indigokeel/net/upstream/connection_pool.py
@@ -71,7 +71,7 @@
         self._connect_backoff = ConnectBackoff(self._random)
         self._local_logged = -math.inf
 
-    def reconfigure(self, connect_timeout: float, idle_most: float) -> None:
+    def apply_timeouts(self, connect_timeout: float, idle_most: float) -> None:
         """Take other times, in seconds."""
         self._connect_timeout, self._idle_most = connect_timeout, idle_most
 
@@ -170,7 +170,7 @@
             if breaker is None and self._open(upstream, address):
                 self._count("connections_warmed")
 
-    def retire(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close what was idle for long, and forget what is old."""
         while (old := self.table.oldest_idle()) is not None and now - old.idle_since >= self._idle_most:
             self.close(old)
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -28,7 +28,7 @@
         supervisor: Supervisor,
         counters: Counters,
     ) -> None:
-        self._coordinator, self._pool, self._discovery = coordinator, pool, discovery
+        self._coordinator, self._upstream_client, self._discovery = coordinator, pool, discovery
         self._supervisor, self._counters = supervisor, counters
         self._waiting: dict[
             str, tuple[ClientConnection, OutboundRequest]
@@ -60,7 +60,7 @@
         for note in effects.notes:
             self._counters.log(note)
         for request, number in effects.cancelled:
-            guarded("giving up an attempt", self._pool.give_up, request, number)
+            guarded("giving up an attempt", self._upstream_client.cancel_attempt, request, number)
         for attempt in effects.attempts:
             self._start(attempt)
         for answer in effects.answers:
@@ -68,9 +68,9 @@
         for upstream in effects.health_checks:
             self._supervisor.spawn("probe", self._probe, upstream)
         for upstream in effects.close_idle:
-            guarded("closing idle connections", self._pool.close_idle, upstream)
+            guarded("closing idle connections", self._upstream_client.close_idle, upstream)
         if effects.warm:
-            guarded("opening connections ahead", self._pool.warm_up, effects.warm)
+            guarded("opening connections ahead", self._upstream_client.warm_up, effects.warm)
         if effects.watch:
             self._supervisor.keep_running("watch", self._discovery.watch)
         if effects.fetch:
@@ -83,11 +83,11 @@
         if waiting is None:
             return
         try:
-            self._pool.start(attempt, waiting[1], self._attempt_ended)
+            self._upstream_client.send_attempt(attempt, waiting[1], self._attempt_ended)
         except Exception as error:
             self._supervisor.fault("an attempt", error)
             self._supervisor.run_guarded(
-                "giving up an attempt", self._pool.give_up, attempt.request, attempt.number
+                "giving up an attempt", self._upstream_client.cancel_attempt, attempt.request, attempt.number
             )
             asyncio.get_running_loop().call_soon(
                 self._attempt_ended, attempt, UpstreamResponse(AttemptOutcome.BROKEN)
@@ -115,7 +115,7 @@
         began = time.monotonic()
         outcome, load = AttemptOutcome.BROKEN, None
         try:
-            outcome, load = await self._pool.probe(upstream)
+            outcome, load = await self._upstream_client.probe(upstream)
         finally:
             now = time.monotonic()
             self.execute(self._coordinator.health_check_ended(now, upstream, outcome, now - began, load))
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -64,7 +64,7 @@
             sockets -= MOST_CALLS
         most = max(int((sockets - _RESERVE) * _SUBMITTERS), 8)
         self._clients: ClientRegistry[ClientConnection] = ClientRegistry(sockets, most)
-        self._pool = UpstreamClient(
+        self._upstream_client = UpstreamClient(
             self._coordinator,
             self._counters,
             limits.connect_timeout,
@@ -81,7 +81,7 @@
         self._lag = 0.0
         self._supervisor = Supervisor(self._counters)
         self._executor = EffectExecutor(
-            self._coordinator, self._pool, self._discovery, self._supervisor, self._counters
+            self._coordinator, self._upstream_client, self._discovery, self._supervisor, self._counters
         )
         self._audit: DescriptorLeakDetector
         self._admin = AdminServer(self, self._counters)
@@ -197,7 +197,7 @@
     def _make_room_for_waiting(self) -> None:
         """No client can be accepted for want of descriptors or memory: close what is idle, one connection to
         an upstream and one of a client, since either may be all there is."""
-        self._pool.connections.shed_idle()
+        self._upstream_client.connections.shed_idle()
         found = self._clients.select_eviction_for_backlog(time.monotonic())
         if found is not None:
             self._counters.add("clients_evicted")
@@ -249,7 +249,7 @@
             for client in self._clients:
                 guarded("the look at a client connection", client.check_timeouts, now)
             if looks % _RETIRE == 0:
-                guarded("closing idle connections", self._pool.retire, now)
+                guarded("closing idle connections", self._upstream_client.close_expired, now)
             if looks % _AUDIT == 0:
                 guarded("audit", self._audit.look)
 
@@ -296,8 +296,8 @@
             clients.open()
             self._accepting = True
             self._audit = DescriptorLeakDetector(
-                lambda: self._pool.connections.table,
-                self._pool.connections.discard,
+                lambda: self._upstream_client.connections.table,
+                self._upstream_client.connections.discard,
                 self._others,
                 self._counters.add,
                 lambda level, text: self._counters.log(text, level),
@@ -354,7 +354,7 @@
     def _use_config(self, config: Config) -> None:
         settings = config.settings
         self._coordinator.apply_settings(settings)
-        self._pool.reconfigure(settings.limits.connect_timeout, settings.limits.keepalive)
+        self._upstream_client.apply_timeouts(settings.limits.connect_timeout, settings.limits.keepalive)
         self._config, self.settings = config, settings
         self._discovery.pushed = not settings.polls_membership
 
@@ -414,9 +414,9 @@
             balancer_faults=self._coordinator.faults,
             cordoned=len(self._coordinator.cordons.out(time.monotonic())),
             client_connections_open=len(self._clients),
-            upstream_connections_open=self._pool.open,
-            upstream_connections_idle=self._pool.connections.idle(),
-            attempts_waiting=self._pool.connections.waiting(),
+            upstream_connections_open=self._upstream_client.open,
+            upstream_connections_idle=self._upstream_client.connections.idle(),
+            attempts_waiting=self._upstream_client.connections.waiting(),
             loop_lag_ms=round(self._lag * 1000.0, 1),
             cpu_s=round(time.process_time(), 2),
         )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -254,7 +254,7 @@
     @rule(seconds=st.sampled_from([0.1, 3.0, 40.0]))
     def age(self, seconds: float) -> None:
         self.world.now += seconds
-        self.world.run(lambda: self.world.connections.retire(self.world.now))
+        self.world.run(lambda: self.world.connections.close_expired(self.world.now))
 
     @rule(which=st.integers(0, 20))
     def fault(self, which: int) -> None:
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -208,7 +208,7 @@
     attempt = coordinator.pick(time.monotonic(), Request(name, "pay", 60.0)).attempts[0]
     done: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
     task = OutboundRequest(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
-    pool.start(attempt, task, lambda _, reply: done.set_result(reply.outcome))
+    pool.send_attempt(attempt, task, lambda _, reply: done.set_result(reply.outcome))
     return await done
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -77,7 +77,7 @@
             attempt = coordinator.pick(now, Request(f"j{number}", "view", 60.0)).attempts[0]
             done: asyncio.Future[AttemptOutcome] = loop.create_future()
             task = OutboundRequest(b"GET", b"/view/k", b"%d" % number, None, [], False)
-            pool.start(attempt, task, lambda attempt, reply, done=done: done.set_result(reply.outcome))  # type: ignore[misc]
+            pool.send_attempt(attempt, task, lambda attempt, reply, done=done: done.set_result(reply.outcome))  # type: ignore[misc]
             ended.append(await done)
             await rested(pool)
         from_each.append(counters["upstream_connections"])
@@ -180,11 +180,11 @@
         for number in range(60):
             now = time.monotonic()
             attempt = coordinator.pick(now, Request(f"j{number}", "view", 1.0)).attempts[0]
-            pool.start(attempt, task, lambda attempt, reply: None)
+            pool.send_attempt(attempt, task, lambda attempt, reply: None)
             for _ in range(steps):
                 await asyncio.sleep(0)
             coordinator.client_disconnected(now, attempt.request)
-            pool.give_up(attempt.request, attempt.number)
+            pool.cancel_attempt(attempt.request, attempt.number)
         await asyncio.sleep(0.01)
         pool.close_idle("s-0")
         await asyncio.sleep(0.01)
@@ -231,7 +231,7 @@
 
         def start(number: int, target: bytes) -> None:
             attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
-            pool.start(attempt, OutboundRequest(b"GET", target, b"%d" % number, None, [], False), done)
+            pool.send_attempt(attempt, OutboundRequest(b"GET", target, b"%d" % number, None, [], False), done)
 
         def done(attempt: object, reply: UpstreamResponse) -> None:
             replies.append(reply)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -135,7 +135,7 @@
 
 LOOPS: dict[str, tuple[object, str, dict[str, Any]]] = {
     "housekeeping": (ClientRegistry, "__iter__", SETTINGS),
-    "idle connections": (UpstreamClient, "retire", SETTINGS),
+    "idle connections": (UpstreamClient, "close_expired", SETTINGS),
     "audit": (DescriptorLeakDetector, "look", SETTINGS),
     "state writer": (StatePersistence, "persist", SETTINGS),
     "state file": (StateFiles, "write", SETTINGS),
@@ -215,7 +215,7 @@
 
 @pytest.mark.parametrize(
     ("owner", "method", "told"),
-    [(UpstreamClient, "start", 500), (ClientConnection, "send_final_response", 0)],
+    [(UpstreamClient, "send_attempt", 500), (ClientConnection, "send_final_response", 0)],
 )
 def test_order_that_raises_costs_its_request_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, told: int
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize(
     ("owner", "method"),
-    [(sidecar, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "reconfigure")],
+    [(sidecar, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "apply_timeouts")],
 )
 def test_reload_that_raises_changes_nothing_and_the_next_one_is_taken(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -106,7 +106,7 @@
         if kind == "upload":
             task.request_stream = RequestStream(source, 4, [b"body"])
             task.request_stream.whole = True
-        carrier.start(attempt, task, lambda _, reply: self.ended(reply))
+        carrier.send_attempt(attempt, task, lambda _, reply: self.ended(reply))
         for _ in range(400):
             await asyncio.sleep(0.001)
             if self.done or (not carrier.connections.waiting() and carrier.connections.idle()):
@@ -190,7 +190,7 @@
         attempt = process.open_attempt("late")
         process.now += BUDGET
         task = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
-        carrier.start(attempt, task, lambda _, reply: process.ended(reply))
+        carrier.send_attempt(attempt, task, lambda _, reply: process.ended(reply))
         found = carrier.open
         await asyncio.sleep(0.0)
         return found
