--- a/indigokeel/net/downstream/client_connection.py
+++ b/indigokeel/net/downstream/client_connection.py
@@ -19,8 +19,8 @@
 from indigokeel.net.http import RequestError
 from indigokeel.net.messages import OutboundRequest
 from indigokeel.net.streams import RequestStream, ResponseStream
-from indigokeel.requests.coordinator import RESPONSE_MARGIN_S
 from indigokeel.requests.effects import FinalStatus, Request
+from indigokeel.requests.open_requests import RESPONSE_MARGIN_S
 
 # Bytes that are read and thrown away after the own side of a connection has ended: a close over unread bytes
 # resets the connection, and what was written last goes with it.
--- /dev/null
+++ b/indigokeel/requests/balancer_driver.py
@@ -0,0 +1,217 @@
+"""Delivers events to the balancer and turns its actions into effects. No I/O; the clock is passed in."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from indigokeel.balancing.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+    WatchEndpoints,
+)
+from indigokeel.balancing.balancer import Balancer
+from indigokeel.balancing.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    Event,
+    LoadReport,
+    ResponseStarted,
+    TimerFired,
+)
+from indigokeel.endpoints.directory import EndpointDirectory
+from indigokeel.requests.effects import Attempt, Effects, FinalAnswer, FinalStatus
+from indigokeel.requests.open_request import OpenRequest
+from indigokeel.requests.open_requests import OpenRequests
+from indigokeel.requests.timer_queue import TimerQueue
+
+# Bound on the events that one call may cause in the balancer, so that no loop of events runs for ever.
+_MAX_EVENTS = 1000
+_MAX_EVENTS_PER_OPEN_REQUEST = 8
+
+
+class BalancerDriver:
+    """Runs the balancer over the open requests: every attempt gets one outcome, every request one answer."""
+
+    def __init__(
+        self,
+        balancer: Balancer,
+        requests: OpenRequests,
+        directory: EndpointDirectory,
+        timers: TimerQueue,
+    ) -> None:
+        """Create a driver of ``balancer`` over the state of a coordinator."""
+        self._balancer = balancer
+        self._requests = requests
+        self._directory = directory
+        self._timers = timers
+        self.faults = 0  # exceptions of the balancer
+
+    # --- events ---------------------------------------------------------------------------------------
+
+    def deliver(self, now: float, event: Event, effects: Effects, request: OpenRequest | None = None) -> None:
+        """Deliver an event, and those that its actions cause; ``request`` is the one that it concerns."""
+        events = [event]
+        for number in range(_MAX_EVENTS + _MAX_EVENTS_PER_OPEN_REQUEST * len(self._requests)):
+            if number >= len(events):
+                break
+            try:
+                actions = self._balancer.handle(now, events[number])
+            except Exception as error:  # a fault in a decision costs its request, never the process
+                self._record_fault(error, effects, request)
+                continue
+            for action in actions:
+                self._apply(now, action, effects, events)
+        if request is not None:
+            self._requests.close_if_done(request)
+
+    def _record_fault(self, error: Exception, effects: Effects, request: OpenRequest | None) -> None:
+        self.faults += 1
+        effects.notes.append(f"fault in the balancer: {type(error).__name__}: {error}")
+        if request is not None and not request.answered and request.attempts_in_flight == 0:
+            self._requests.answer(request, FinalAnswer(request.id, FinalStatus.FAILED), effects)
+
+    def expire_at_deadline(self, request: OpenRequest) -> None:
+        """Schedule the end of a request at its ``respond_by``."""
+        self._timers.schedule(request.respond_by, partial(self._expire, request), request)
+
+    def _expire(self, request: OpenRequest, now: float, effects: Effects) -> None:
+        """End the attempts of a request whose time is over, and see that it has an answer."""
+        for number in range(len(request.attempts)):
+            self.time_out_attempt(now, request, number, effects)
+        if not request.answered:
+            self._requests.answer_unserved(request, effects)
+            self.deliver(now, ClientDisconnected(request.id), effects, request)
+        self._requests.close_if_done(request)
+
+    def time_out_attempt(self, now: float, request: OpenRequest, number: int, effects: Effects) -> None:
+        """Cancel an attempt whose time is over, unless it has ended."""
+        attempt = request.open_attempt(number)
+        if attempt is None:
+            return
+        effects.cancelled.append((request.id, number))
+        # An attempt of which no byte was written cannot have run.
+        outcome = AttemptOutcome.TIMED_OUT if attempt.sent else AttemptOutcome.NO_CONNECTION
+        self.end_attempt(now, request, number, outcome, effects)
+
+    def end_attempt(
+        self,
+        now: float,
+        request: OpenRequest,
+        number: int,
+        outcome: AttemptOutcome,
+        effects: Effects,
+        load: LoadReport | None = None,
+    ) -> None:
+        """Record the outcome of an attempt that has none, and let the balancer decide what follows."""
+        attempt = request.attempts[number]
+        attempt.ended = True
+        attempt.may_have_run = not outcome.never_ran
+        request.attempts_in_flight -= 1
+        if outcome is AttemptOutcome.OK and not request.answered:
+            answer = FinalAnswer(request.id, FinalStatus.SERVED, attempt=number)
+            self._requests.answer(request, answer, effects)
+        if outcome is AttemptOutcome.TIMED_OUT and request.delayed_by_client and now >= request.respond_by:
+            outcome = AttemptOutcome.CANCELLED  # the upstream was not late
+        elapsed = max(now - attempt.started_at, 0.0)
+        event = AttemptEnded(
+            request.id, attempt.upstream, number, outcome, elapsed, final=request.answered, load=load
+        )
+        self.deliver(now, event, effects, request)
+
+    # --- actions --------------------------------------------------------------------------------------
+
+    def _apply(self, now: float, action: Action, effects: Effects, events: list[Event]) -> None:
+        if isinstance(action, SendAttempt):  # first the two that every request causes
+            self._start_attempt(now, action, effects, events)
+        elif isinstance(action, SetTimer):
+            self._timers.schedule(now + action.delay, partial(self._fire_timer, action.token))
+        elif isinstance(action, CloseIdleConnections):
+            effects.close_idle.append(action.upstream)
+        elif isinstance(action, RejectRequest):
+            self._answer(FinalAnswer(action.id, FinalStatus.REJECTED, action.retry_after_s), effects)
+        elif isinstance(action, FailRequest):
+            self._answer(FinalAnswer(action.id, FinalStatus.FAILED), effects)
+        elif isinstance(action, CancelAttempt):
+            self._cancel_attempt(now, action, effects, events)
+        elif isinstance(action, SendHealthCheck):
+            effects.health_checks.append(action.upstream)
+        elif isinstance(action, WatchEndpoints):
+            effects.watch = True
+        elif isinstance(action, FetchEndpoints):
+            effects.fetch = True
+        elif isinstance(action, LogMessage):
+            effects.notes.append(action.text)
+
+    def _fire_timer(self, token: int, now: float, effects: Effects) -> None:
+        self.deliver(now, TimerFired(token), effects)
+
+    def _answer(self, answer: FinalAnswer, effects: Effects) -> None:
+        request = self._requests.get(answer.request)
+        if request is not None and not request.answered:
+            self._requests.answer(request, answer, effects)
+            self._requests.close_if_done(request)
+
+    def _cancel_attempt(
+        self, now: float, action: CancelAttempt, effects: Effects, events: list[Event]
+    ) -> None:
+        request = self._requests.get(action.id)
+        attempt = request.open_attempt(action.attempt) if request is not None else None
+        if request is None or attempt is None:
+            return
+        attempt.ended = True
+        request.attempts_in_flight -= 1
+        effects.cancelled.append((action.id, action.attempt))
+        elapsed = now - attempt.started_at
+        outcome = AttemptOutcome.CANCELLED
+        events.append(
+            AttemptEnded(action.id, attempt.upstream, action.attempt, outcome, elapsed, request.answered)
+        )
+        self._requests.close_if_done(request)
+
+    def _start_attempt(self, now: float, action: SendAttempt, effects: Effects, events: list[Event]) -> None:
+        request = self._requests.get(action.id)
+        if request is None:
+            return
+        number = len(request.attempts)
+        attempt = request.add_attempt(action.upstream, now)
+        if not request.may_send(now, number) or self._directory.address(action.upstream) is None:
+            attempt.ended = True
+            attempt.may_have_run = False
+            outcome = AttemptOutcome.NOT_SENT
+            events.append(AttemptEnded(action.id, action.upstream, number, outcome, 0.0, request.answered))
+            return
+        request.attempts_in_flight += 1
+        if request.long:
+            # The body is not kept, so it cannot be sent again. Once its response counts as started, the
+            # balancer neither waits for it nor sends another attempt.
+            events.append(ResponseStarted(action.id, action.upstream, number))
+            until = min(now + request.time_limit, request.respond_by)
+        else:
+            until = self._attempt_deadline(now, action, request)
+            if until < request.respond_by:
+                self._schedule_time_out(until, request, number)
+        effects.attempts.append(Attempt(action.id, number, action.upstream, until))
+
+    @staticmethod
+    def _attempt_deadline(now: float, action: SendAttempt, request: OpenRequest) -> float:
+        """Return the clock time at which an attempt is given up."""
+        if action.timeout < 0.0:
+            return now
+        if action.timeout > 0.0:
+            return min(now + action.timeout, request.respond_by)
+        return request.respond_by
+
+    def _schedule_time_out(self, until: float, request: OpenRequest, number: int) -> None:
+        def time_out(now: float, effects: Effects) -> None:
+            self.time_out_attempt(now, request, number, effects)
+
+        self._timers.schedule(until, time_out, request)
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -30,7 +30,7 @@
     repeat: bool = False
     write: bool = False
     waited: float = 0.0  # s of its client's time that had gone by behind others on its connection
-    long: bool = False  # its body still comes: its time starts with ``uploaded``
+    long: bool = False  # its body still comes: its time starts with ``request_body_received``
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/indigokeel/requests/open_request.py
@@ -0,0 +1,71 @@
+"""The state of one open request and of its attempts. No I/O; the clock is passed in."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+_MAX_UNSENT_ATTEMPTS = 5  # beyond the limit on attempts: an attempt of which nothing was sent does not count
+
+
+@dataclass(slots=True)
+class OpenAttempt:
+    """An attempt that was started, from its start to its one outcome."""
+
+    upstream: str
+    started_at: float  # clock time
+    send_before: float  # clock time; a retry of a keyed request may not begin later
+    sent: bool = False  # its first byte was about to be written
+    ended: bool = False
+    may_have_run: bool = True  # until its outcome proves otherwise
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A request from its arrival until it is answered and all its attempts have ended."""
+
+    id: str
+    respond_by: float  # clock time of the final answer at the latest; infinite while a long body is received
+    idempotency_window: float  # seconds after the first attempt in which a retry may begin
+    max_attempts: int
+    time_limit: float  # seconds from the arrival, or from the last byte of a long body, to ``respond_by``
+    long: bool  # its body is streamed
+    delayed_by_client: bool  # it waited behind other requests of its client, so no upstream is late with it
+    attempts: list[OpenAttempt] = field(default_factory=list)
+    attempts_in_flight: int = 0
+    answered: bool = False
+    closed: bool = False
+    pending_timers: int = 0  # see ``TimerQueue``
+
+    def add_attempt(self, upstream: str, now: float) -> OpenAttempt:
+        """Record one more attempt, which starts now."""
+        first = next((attempt.started_at for attempt in self.attempts if attempt.may_have_run), math.inf)
+        attempt = OpenAttempt(upstream, now, first + self.idempotency_window)
+        self.attempts.append(attempt)
+        return attempt
+
+    def may_send(self, now: float, number: int) -> bool:
+        """Return True if attempt ``number`` is within the limits of this request."""
+        unsent = sum(attempt.ended and not attempt.sent for attempt in self.attempts[:number])
+        counted = number - min(unsent, _MAX_UNSENT_ATTEMPTS)
+        return not self.answered and now < self.respond_by and counted < self.max_attempts
+
+    def open_attempt(self, number: int) -> OpenAttempt | None:
+        """Return attempt ``number`` if it exists and has no outcome yet."""
+        if number >= len(self.attempts) or self.attempts[number].ended:
+            return None
+        return self.attempts[number]
+
+    def may_have_run(self) -> bool:
+        """Return True unless it is proved that no attempt had an effect."""
+        return any(attempt.may_have_run for attempt in self.attempts)
+
+    def restart_clock(self, now: float) -> None:
+        """Start the time limit now, when the last byte of a long body was received."""
+        self.respond_by = now + self.time_limit
+        for attempt in self.attempts:
+            attempt.started_at = now
+
+    def is_done(self) -> bool:
+        """Return True once it is answered and no attempt is in flight."""
+        return self.answered and self.attempts_in_flight == 0
--- /dev/null
+++ b/indigokeel/requests/open_requests.py
@@ -0,0 +1,112 @@
+"""All open requests of one sidecar, each kept until it is answered and its attempts have ended."""
+
+from __future__ import annotations
+
+import math
+
+from indigokeel.balancing.settings import Idempotency, Settings
+from indigokeel.requests.effects import Effects, FinalAnswer, FinalStatus, Request
+from indigokeel.requests.open_request import OpenRequest
+from indigokeel.requests.timer_queue import TimerQueue
+
+# Seconds before the client's own limit at which the final answer is given, so that it can be written and can
+# arrive. The longer margin applies where it does not cost a response within the latency objective.
+RESPONSE_MARGIN_S = 0.05
+MIN_RESPONSE_MARGIN_S = 0.01
+
+_MIN_DELAY_BY_CLIENT_S = 0.01  # wait behind other requests, from which a time-out says nothing of an upstream
+
+
+class OpenRequests:
+    """The requests that are owed an answer, or have an attempt in flight."""
+
+    def __init__(self, settings: Settings, timers: TimerQueue) -> None:
+        """``timers`` is the queue that holds the timers of the requests."""
+        self._timers = timers
+        self._requests: dict[str, OpenRequest] = {}
+        self.unanswered = 0
+        self.apply_settings(settings)
+
+    def __len__(self) -> int:
+        """Return the number of open requests."""
+        return len(self._requests)
+
+    def __contains__(self, request_id: object) -> bool:
+        """Return True if a request of this id is open."""
+        return request_id in self._requests
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings to the requests that arrive from now on."""
+        self._limits = settings.limits
+        self._latency_objectives = {cls.name: cls.latency_objective for cls in settings.classes}
+        self._idempotency_windows = {
+            cls.name: cls.idempotency_window
+            for cls in settings.classes
+            if cls.idempotency is Idempotency.KEYED
+        }
+
+    def is_full(self) -> bool:
+        """Return True if as many requests wait for their answer as the settings allow."""
+        return self.unanswered >= self._limits.max_open_requests
+
+    def reject_for_capacity(self, request: Request) -> FinalAnswer:
+        """Return the answer to a request that arrives while this is full."""
+        return FinalAnswer(request.id, FinalStatus.REJECTED, self._limits.max_retry_after)
+
+    def get(self, request_id: str) -> OpenRequest | None:
+        """Return the open request of this id, or None."""
+        return self._requests.get(request_id)
+
+    def unanswered_requests(self) -> list[OpenRequest]:
+        """Return the requests that have no final answer yet."""
+        return [request for request in self._requests.values() if not request.answered]
+
+    def open(self, now: float, request: Request) -> OpenRequest:
+        """Record a request that has just arrived; raise ValueError if its id is in use."""
+        if request.id in self._requests:
+            raise ValueError(f"a request of this id is open: {request.id}")
+        time_limit = self._time_limit(request)
+        opened = OpenRequest(
+            id=request.id,
+            respond_by=math.inf if request.long else now + time_limit,
+            idempotency_window=self._idempotency_windows.get(request.class_name, math.inf),
+            max_attempts=self._limits.max_attempts,
+            time_limit=time_limit,
+            long=request.long,
+            delayed_by_client=request.waited > _MIN_DELAY_BY_CLIENT_S,
+        )
+        self._requests[request.id] = opened
+        self.unanswered += 1
+        return opened
+
+    def _time_limit(self, request: Request) -> float:
+        """Return the seconds until the final answer: never cut below the objective but by the shorter margin,
+        and at least half of the client's limit."""
+        objective = self._latency_objectives.get(request.class_name, 0.0)
+        within_objective = min(objective, request.budget - MIN_RESPONSE_MARGIN_S)
+        return max(request.budget - RESPONSE_MARGIN_S, within_objective, request.budget / 2.0)
+
+    def mark_answered(self, request: OpenRequest) -> None:
+        """Record that a request is owed nothing any more."""
+        request.answered = True
+        self.unanswered -= 1
+
+    def answer(self, request: OpenRequest, answer: FinalAnswer, effects: Effects) -> None:
+        """Give a request its final answer."""
+        self.mark_answered(request)
+        effects.answers.append(answer)
+
+    def answer_unserved(self, request: OpenRequest, effects: Effects) -> None:
+        """Give the final answer of a request that was not served.
+
+        It is a rejection, after which the client may retry, only where no attempt can have run.
+        """
+        status = FinalStatus.FAILED if request.may_have_run() else FinalStatus.REJECTED
+        self.answer(request, FinalAnswer(request.id, status), effects)
+
+    def close_if_done(self, request: OpenRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        if request.is_done() and not request.closed:
+            request.closed = True
+            self._requests.pop(request.id, None)
+            self._timers.drop_timers_of(request)
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -314,7 +314,7 @@
     sound = coordinator.export_learned_state(NOW)
     assert sound is not None and coordinator.restore_learned_state(NOW, sound).notes == []
     notes = coordinator.restore_learned_state(NOW, {**sound, **spoil}).notes
-    assert len(notes) == 1 and notes[0].startswith("what the process before had learnt is not used")
+    assert len(notes) == 1 and notes[0].startswith("learned state of the previous process ignored")
     assert (
         coordinator.restore_learned_state(NOW, None).notes
         and coordinator.restore_learned_state(NOW, []).notes
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -11,8 +11,9 @@
 from indigokeel.balancing.events import AttemptEnded, AttemptOutcome, EndpointState, TimerFired
 from indigokeel.balancing.settings import Limits
 from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
-from indigokeel.requests.coordinator import RESPONSE_MARGIN_S, RequestCoordinator
+from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Attempt, Effects, FinalAnswer, FinalStatus, Request
+from indigokeel.requests.open_requests import RESPONSE_MARGIN_S
 from tests.conftest import make_settings
 
 NODES = tuple(Endpoint(f"s-{i}", "127.0.0.1", 30 + i, "z0", "k", 0) for i in range(3))
@@ -183,7 +184,8 @@
         attempt, _ = take(coordinator, now, id=f"j{number}", budget=3600.0)
         coordinator.report(now, attempt, AttemptOutcome.OK)
         coordinator.tick(now)
-    assert len(coordinator._timers) < 800 and 0 <= coordinator._dead <= len(coordinator._timers)
+    timers = coordinator._timers
+    assert len(timers) < 800 and 0 <= timers._dropped <= len(timers)
     take(coordinator, 120.0, id="last", budget=1.0)
     answers = []
     while coordinator.next_deadline() < 122.0:
@@ -233,7 +235,7 @@
     def fail(now: float, effects: Effects) -> None:
         raise RuntimeError("unforeseen")
 
-    coordinator._enter(101.0, fail)
+    coordinator._timers.schedule(101.0, fail)
     effects = coordinator.tick(102.0)
     assert [answer.request for answer in effects.answers] == ["before", "after"]
     assert coordinator.faults == 1 and any("unforeseen" in note for note in effects.notes)
