--- /dev/null
+++ b/indigokeel/config/__init__.py
@@ -0,0 +1,7 @@
+"""The configuration of a process: file format, decoding, validation, and comparison on reload."""
+
+from indigokeel.config.errors import ConfigError, SettingsError
+from indigokeel.config.loader import Config, load_config, reload_config
+from indigokeel.config.settings_decoder import decode_settings
+
+__all__ = ["Config", "ConfigError", "SettingsError", "decode_settings", "load_config", "reload_config"]
--- /dev/null
+++ b/indigokeel/config/loader.py
@@ -0,0 +1,99 @@
+"""Loads the configuration file that the environment names."""
+
+from __future__ import annotations
+
+import contextlib
+from collections.abc import Iterator, Mapping
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from indigokeel.balancing.balancer import check
+from indigokeel.balancing.settings import Settings
+from indigokeel.config.errors import ConfigError, SettingsError
+from indigokeel.config.reload_check import find_regression
+from indigokeel.config.settings_decoder import decode_settings
+from indigokeel.endpoints.endpoint_list import EndpointList, parse_address, parse_endpoint_list
+
+Address = tuple[str, int]
+
+_DEFAULT_MAX_DESCRIPTORS = 1024
+_NO_ENDPOINTS: Mapping[str, Any] = {"index": 0, "snapshot": True, "endpoints": []}
+
+
+@dataclass(frozen=True, slots=True)
+class Config:
+    """All that a process is configured with at its start."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    seed: int
+    sockets: int  # descriptors that the process may hold
+    known: EndpointList  # as this sidecar last had it; may be old
+    settings: Settings
+    mgmt: Address | None = None  # the operators' address; None: there is none
+    listen_fd: int = -1  # the platform's listening socket, inherited; -1: there is none
+    state_dir: str = ""  # where processes of this sidecar leave their state for each other; "": nowhere
+    raw: Mapping[str, Any] = field(default_factory=dict)  # the file's content without that of ``known``
+
+
+def load_config(env: Mapping[str, str]) -> Config:
+    """Load the file that BALANCER_CONFIG names; other variables override it. Raise ConfigError if invalid."""
+    with _reported_as_config_errors():
+        return _decode(_read_file(env), env)
+
+
+def reload_config(env: Mapping[str, str], current: Config) -> Config:
+    """Load the file again while ``current`` is in force; raise ConfigError if it is invalid.
+
+    A file that lacks a key of the current one, or has it as another JSON type, is invalid. ``discovery`` is
+    taken from the file alone: the environment's value dates from the start, and the file is newer.
+    """
+    with _reported_as_config_errors():
+        data = _read_file(env)
+        if fault := find_regression(current.raw, data):
+            raise SettingsError(fault)
+        return _decode(data, {key: value for key, value in env.items() if key != "BALANCER_DISCOVERY"})
+
+
+@contextlib.contextmanager
+def _reported_as_config_errors() -> Iterator[None]:
+    """Turn whatever is wrong with a file into a ConfigError of one line."""
+    try:
+        yield
+    except OSError as error:
+        raise ConfigError(f"cannot read the configuration: {error}") from None
+    except KeyError as error:
+        raise ConfigError(f"{error.args[0]!r} is missing") from None
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        raise ConfigError(" ".join(str(error).split())) from None
+
+
+def _read_file(env: Mapping[str, str]) -> dict[str, Any]:
+    data = orjson.loads(Path(env["BALANCER_CONFIG"]).read_bytes())
+    if not isinstance(data, dict):
+        raise SettingsError("the configuration is not an object")
+    return data
+
+
+def _decode(data: dict[str, Any], env: Mapping[str, str]) -> Config:
+    seed = data.get("seed", "0")
+    mgmt = env.get("BALANCER_MGMT") or data.get("mgmt")
+    settings = decode_settings(data["settings"])
+    check(settings)
+    return Config(
+        name=str(env.get("BALANCER_NAME") or data["name"]),
+        listen=parse_address(env.get("BALANCER_LISTEN") or data["listen"]),
+        discovery=parse_address(env.get("BALANCER_DISCOVERY") or data["discovery"]),
+        seed=int(seed, 16) if isinstance(seed, str) else int(seed),
+        sockets=int(data.get("limits", {}).get("sockets", _DEFAULT_MAX_DESCRIPTORS)),
+        known=parse_endpoint_list(data.get("known") or _NO_ENDPOINTS),
+        settings=settings,
+        mgmt=parse_address(mgmt) if mgmt else None,
+        listen_fd=int(env.get("BALANCER_LISTEN_FD") or -1),
+        state_dir=env.get("TMPDIR", "") if mgmt else "",
+        raw={key: {} if key == "known" else value for key, value in data.items()},
+    )
--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -17,7 +17,7 @@
 from functools import lru_cache
 from http import HTTPStatus
 
-from indigokeel.config import LOAD_FIELDS
+from indigokeel.config.load_report_fields import LOAD_REPORT_FIELDS
 
 MAX_HEAD = 16 * 1024  # bytes of a message's head
 MAX_BODY = 64 * 1024  # bytes of a body that is read whole; a longer one passes in pieces
@@ -117,7 +117,7 @@
     figures: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition("=")
-        known = LOAD_FIELDS.get(name.strip())
+        known = LOAD_REPORT_FIELDS.get(name.strip())
         if known is None:
             continue
         try:
--- a/indigokeel/simulation/adapter.py
+++ b/indigokeel/simulation/adapter.py
@@ -40,7 +40,8 @@
     UpdateKind,
 )
 from indigokeel.balancing.settings import Settings
-from indigokeel.config import LOAD_FIELDS, SettingsError, decode_settings
+from indigokeel.config import SettingsError, decode_settings
+from indigokeel.config.load_report_fields import LOAD_REPORT_FIELDS
 
 Parts = dict[str, str]
 
@@ -82,7 +83,7 @@
         name, colon, value = pair.partition(":")
         if not colon:
             raise WireError(f"a load report without ':' in {pair!r}")
-        known = LOAD_FIELDS.get(name)
+        known = LOAD_REPORT_FIELDS.get(name)
         if known is not None:
             figures[known] = float(value) / 1000.0 if known == "latency" else float(value)
     return LoadReport(**figures)
