--- a/indigokeel/config/load_report_fields.py
+++ b/indigokeel/config/load_report_fields.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-# The first name of each pair is that of ``telemetry.columns`` in the settings, the second that of the protocol's
-# examples; the value is the field of ``LoadReport``.
+# Each pair holds the name in ``telemetry.columns`` of the settings and that of the protocol's examples; the
+# value is the field of ``LoadReport``.
 LOAD_REPORT_FIELDS = {
     "busy": "utilisation",
     "util": "utilisation",
--- a/indigokeel/net/admin.py
+++ b/indigokeel/net/admin.py
@@ -17,7 +17,7 @@
 from indigokeel.net import http
 from indigokeel.net.http import RequestError
 
-MOST = 24  # connections at a time; with more, the one that has said nothing whole for longest goes
+MAX_CONNECTIONS = 24  # connections at a time; with more, the one that has said nothing whole for longest goes
 _MOST = 12 * 1024  # bytes of a call
 _CALL_TIME = 5.0  # s from the connection to the call's last byte
 _LINGER = 0.5  # s between the answer and the close, for a caller that is still sending
@@ -64,7 +64,7 @@
 
     def joined(self, call: Call) -> None:
         self.calls[call] = None
-        if len(self.calls) > MOST:
+        if len(self.calls) > MAX_CONNECTIONS:
             self.counters.add("mgmt_shed")
             next(iter(self.calls)).drop()
 
--- /dev/null
+++ b/indigokeel/process/counter_report.py
@@ -0,0 +1,46 @@
+"""Prints the counters for the operators, together with figures of the present."""
+
+from __future__ import annotations
+
+import time
+
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_connection import ClientConnection
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.process.lag_monitor import LagMonitor
+from indigokeel.requests.coordinator import RequestCoordinator
+
+
+class CounterReport:
+    """One line of JSON: all counters, and the state of the process."""
+
+    def __init__(
+        self,
+        counters: Counters,
+        coordinator: RequestCoordinator,
+        clients: ClientRegistry[ClientConnection],
+        upstream_client: UpstreamClient,
+        lag_monitor: LagMonitor,
+    ) -> None:
+        """Create a report on these parts."""
+        self._counters = counters
+        self._coordinator = coordinator
+        self._clients = clients
+        self._upstream_client = upstream_client
+        self._lag_monitor = lag_monitor
+
+    def print(self) -> None:
+        """Print the line on standard error."""
+        connections = self._upstream_client.connections
+        self._counters.dump(
+            requests_unanswered=self._coordinator.unanswered,
+            balancer_faults=self._coordinator.faults,
+            cordoned=len(self._coordinator.cordons.out(time.monotonic())),
+            client_connections_open=len(self._clients),
+            upstream_connections_open=self._upstream_client.open,
+            upstream_connections_idle=connections.idle(),
+            attempts_waiting=connections.waiting(),
+            loop_lag_ms=round(self._lag_monitor.lag * 1000.0, 1),
+            cpu_s=round(time.process_time(), 2),
+        )
--- a/indigokeel/process/deadline_timer.py
+++ b/indigokeel/process/deadline_timer.py
@@ -1,4 +1,4 @@
-"""The timer of the process: calls back when something is due, and goes on whatever that raises."""
+"""The timer of the process: calls back at the next deadline, and keeps running whatever that raises."""
 
 from __future__ import annotations
 
@@ -6,31 +6,40 @@
 import math
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 from indigokeel.process.supervision import Supervisor
 
-_LATE_S = 0.02  # by which the timer is late where the sockets are polled first
+_LATE_S = 0.02  # from which a timer that fires late lets the loop poll its sockets first
 _POLL_S = 0.001  # for that poll
-_RETRY_S = 0.001  # after an exception; doubled with each further one in a row ...
-_RETRY_MOST_S = 0.1  # ... up to this
+_MIN_RETRY_S = 0.001  # after an exception; doubled with each further one in a row
+_MAX_RETRY_S = 0.1
+
+
+class DeadlineSource(Protocol):
+    """What the timer is set for."""
+
+    def next_deadline(self) -> float:
+        """Return the monotonic time of the next deadline, or infinity."""
 
 
 class DeadlineTimer:
-    """Runs what is due at its time, on the event loop's thread."""
+    """Runs what is due at its time, in the event loop's thread."""
 
-    def __init__(self, due: Callable[[], float], run_due: Callable[[], None], supervisor: Supervisor) -> None:
-        """``due`` tells the monotonic time of what is due next, infinity for nothing; ``run_due`` does all
-        that is due by now."""
-        self._due, self._run_due, self._supervisor = due, run_due, supervisor
+    def __init__(self, source: DeadlineSource, run_due: Callable[[], None], supervisor: Supervisor) -> None:
+        """``run_due`` does all that is due by now."""
+        self._source = source
+        self._run_due = run_due
+        self._supervisor = supervisor
         self._handle: asyncio.TimerHandle | None = None
-        self._due_at = math.inf
-        self._polled = False  # the sockets, since the timer was found late
-        self._retry_pause = _RETRY_S
+        self._set_for = math.inf  # monotonic time
+        self._polled = False  # the sockets were polled since the timer was found late
+        self._retry_pause_s = _MIN_RETRY_S
 
     def lower(self) -> None:
-        """Something may be due before what the timer was set for."""
+        """Set the timer earlier if a deadline has come up before the one that it is set for."""
         try:
-            if self._due() >= self._due_at:
+            if self._source.next_deadline() >= self._set_for:
                 return
         except Exception as error:
             self._retry(error)
@@ -38,40 +47,40 @@
         self.reset()
 
     def reset(self) -> None:
-        """Set the timer for what is due next."""
+        """Set the timer for the next deadline."""
         try:
-            self._set(self._due())
+            self._set(self._source.next_deadline())
         except Exception as error:
             self._retry(error)
 
-    def _set(self, due_at: float) -> None:
+    def _set(self, deadline: float) -> None:
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
-        self._due_at = due_at
-        if due_at < math.inf:
-            delay = max(due_at - time.monotonic(), 0.0)
+        self._set_for = deadline
+        if deadline < math.inf:
+            delay = max(deadline - time.monotonic(), 0.0)
             self._handle = asyncio.get_running_loop().call_later(delay, self._fire)
 
     def _retry(self, error: Exception) -> None:
-        """The timer must go on, but not in a spin."""
+        """Set the timer again after an exception, with a pause so that it does not busy-loop."""
         self._supervisor.restarting("timer", error)
-        self._set(time.monotonic() + self._retry_pause)
-        self._retry_pause = min(2.0 * self._retry_pause, _RETRY_MOST_S)
+        self._set(time.monotonic() + self._retry_pause_s)
+        self._retry_pause_s = min(2.0 * self._retry_pause_s, _MAX_RETRY_S)
 
     def _fire(self) -> None:
-        """Guards against the loop that stood still: its timers fire before it has looked at its sockets, and
-        attempts would time out whose answers are here."""
-        if time.monotonic() - self._due_at > _LATE_S and not self._polled:
+        # After a pause of the process the loop runs its timers before it polls its sockets: attempts would
+        # time out whose responses have arrived.
+        if time.monotonic() - self._set_for > _LATE_S and not self._polled:
             self._polled = True
             self._handle = asyncio.get_running_loop().call_later(_POLL_S, self._fire)
             return
         self._polled = False
-        self._due_at = -math.inf  # set once, when all is done
+        self._set_for = -math.inf  # ``lower`` sets nothing until all is done
         try:
             self._run_due()
         except Exception as error:
             self._retry(error)
             return
-        self._retry_pause = _RETRY_S
+        self._retry_pause_s = _MIN_RETRY_S
         self.reset()
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -1,9 +1,10 @@
-"""Carries out what the coordinator orders: attempts, answers, probes and calls to discovery."""
+"""Carries out the effects of the coordinator: attempts, answers, health checks and calls to discovery."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from dataclasses import dataclass
 
 from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.metrics import Counters
@@ -17,35 +18,44 @@
 from indigokeel.requests.effects import Attempt, Effects, FinalAnswer, FinalStatus
 
 
+@dataclass(frozen=True, slots=True)
+class _WaitingClient:
+    """The connection that waits for the answer to a request, and what is sent to upstreams for it."""
+
+    connection: ClientConnection
+    outbound: OutboundRequest
+
+
 class EffectExecutor:
-    """Passes orders on, and tells the coordinator of how attempts and probes end; keeps the timer set."""
+    """Carries out effects, reports the outcomes of attempts and health checks, and keeps the timer set."""
 
     def __init__(
         self,
         coordinator: RequestCoordinator,
-        pool: UpstreamClient,
+        upstream_client: UpstreamClient,
         discovery: DiscoveryClient,
         supervisor: Supervisor,
         counters: Counters,
     ) -> None:
-        self._coordinator, self._upstream_client, self._discovery = coordinator, pool, discovery
-        self._supervisor, self._counters = supervisor, counters
-        self._waiting: dict[
-            str, tuple[ClientConnection, OutboundRequest]
-        ] = {}  # requests whose answer is awaited, by id
-        self.timer = DeadlineTimer(coordinator.next_deadline, self._run_due, supervisor)
+        """Create an executor for the effects of ``coordinator``."""
+        self._coordinator = coordinator
+        self._upstream_client = upstream_client
+        self._discovery = discovery
+        self._supervisor = supervisor
+        self._counters = counters
+        self._waiting: dict[str, _WaitingClient] = {}  # by request id
+        self.timer = DeadlineTimer(coordinator, self._run_due, supervisor)
 
     def expect(self, request_id: str, client: ClientConnection, outbound: OutboundRequest) -> None:
-        """The answer to this request goes to ``client``."""
-        self._waiting[request_id] = client, outbound
+        """Send the answer to this request to ``client``."""
+        self._waiting[request_id] = _WaitingClient(client, outbound)
 
     def forget(self, request_id: str) -> None:
-        """Nobody waits for this request's answer any more."""
+        """Send the answer to this request to nobody."""
         self._waiting.pop(request_id, None)
 
     def answer_all(self) -> None:
-        """Give every open request its final answer: what the coordinator has due, and, should a fault have
-        kept any from that, a plain failure."""
+        """Give every open request its final answer: from the coordinator, or, should that fail, a failure."""
         self._supervisor.run_guarded("the last answers", self._run_due)
         for request_id in list(self._waiting):
             self._answer(FinalAnswer(request_id, FinalStatus.FAILED), None)
@@ -54,19 +64,21 @@
         self.execute(self._coordinator.tick(time.monotonic()))
 
     def execute(self, effects: Effects, response: UpstreamResponse | None = None) -> None:
-        """``response`` is the one that a served answer among the orders passes on. An order that raises costs
-        what it is for, and none of the others."""
+        """Carry out effects; ``response`` is the one that a served answer among them passes on.
+
+        An effect that raises costs what it is for, and none of the others.
+        """
         guarded = self._supervisor.run_guarded
         for note in effects.notes:
             self._counters.log(note)
-        for request, number in effects.cancelled:
-            guarded("giving up an attempt", self._upstream_client.cancel_attempt, request, number)
+        for request_id, number in effects.cancelled:
+            guarded("cancelling an attempt", self._upstream_client.cancel_attempt, request_id, number)
         for attempt in effects.attempts:
             self._start(attempt)
         for answer in effects.answers:
             self._answer(answer, response)
         for upstream in effects.health_checks:
-            self._supervisor.spawn("probe", self._probe, upstream)
+            self._supervisor.spawn("health check", self._check_health, upstream)
         for upstream in effects.close_idle:
             guarded("closing idle connections", self._upstream_client.close_idle, upstream)
         if effects.warm:
@@ -78,44 +90,44 @@
         self.timer.lower()
 
     def _start(self, attempt: Attempt) -> None:
-        """Begin an attempt. One that cannot be begun may have been written in part: it counts as broken."""
+        """Start an attempt. If that raises, it may have been written in part and counts as broken."""
         waiting = self._waiting.get(attempt.request)
         if waiting is None:
             return
         try:
-            self._upstream_client.send_attempt(attempt, waiting[1], self._attempt_ended)
+            self._upstream_client.send_attempt(attempt, waiting.outbound, self._attempt_ended)
         except Exception as error:
             self._supervisor.fault("an attempt", error)
-            self._supervisor.run_guarded(
-                "giving up an attempt", self._upstream_client.cancel_attempt, attempt.request, attempt.number
-            )
-            asyncio.get_running_loop().call_soon(
-                self._attempt_ended, attempt, UpstreamResponse(AttemptOutcome.BROKEN)
-            )
+            cancel = self._upstream_client.cancel_attempt
+            self._supervisor.run_guarded("cancelling an attempt", cancel, attempt.request, attempt.number)
+            broken = UpstreamResponse(AttemptOutcome.BROKEN)
+            asyncio.get_running_loop().call_soon(self._attempt_ended, attempt, broken)
 
     def _answer(self, answer: FinalAnswer, response: UpstreamResponse | None) -> None:
-        """Pass a final answer on. A client that it cannot be written to is not left to wait for it."""
+        """Pass a final answer to its client; the connection is closed if it cannot be written."""
         self._counters.add("requests_" + answer.status.value)
         waiting = self._waiting.pop(answer.request, None)
         if waiting is None:
             return
         served = response if answer.status is FinalStatus.SERVED else None
         try:
-            waiting[0].send_final_response(FinalResponse(answer.status, answer.retry_after_s, served))
+            final = FinalResponse(answer.status, answer.retry_after_s, served)
+            waiting.connection.send_final_response(final)
         except Exception as error:
             self._supervisor.fault("an answer", error)
-            # A step later, for what was written by then goes out at the end of this one.
-            asyncio.get_running_loop().call_soon(waiting[0].abort)
+            # In the next step of the loop, so that what was written by now is sent at the end of this one.
+            asyncio.get_running_loop().call_soon(waiting.connection.abort)
 
     def _attempt_ended(self, attempt: Attempt, response: UpstreamResponse) -> None:
         now = time.monotonic()
         self.execute(self._coordinator.report(now, attempt, response.outcome, response.load), response)
 
-    async def _probe(self, upstream: str) -> None:
-        began = time.monotonic()
+    async def _check_health(self, upstream: str) -> None:
+        started_at = time.monotonic()
         outcome, load = AttemptOutcome.BROKEN, None
         try:
             outcome, load = await self._upstream_client.probe(upstream)
         finally:
             now = time.monotonic()
-            self.execute(self._coordinator.health_check_ended(now, upstream, outcome, now - began, load))
+            elapsed = now - started_at
+            self.execute(self._coordinator.health_check_ended(now, upstream, outcome, elapsed, load))
--- /dev/null
+++ b/indigokeel/process/reload.py
@@ -0,0 +1,65 @@
+"""Reloads the configuration file: settings and discovery change together, or nothing does."""
+
+from __future__ import annotations
+
+import os
+
+from indigokeel.config import Config, ConfigError, reload_config
+from indigokeel.metrics import Counters
+from indigokeel.net.discovery import DiscoveryClient
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.process.request_service import RequestService
+from indigokeel.process.supervision import Supervisor
+from indigokeel.requests.coordinator import RequestCoordinator
+
+
+class ConfigReloader:
+    """Holds the configuration in force, and replaces it as a whole."""
+
+    def __init__(
+        self,
+        config: Config,
+        coordinator: RequestCoordinator,
+        requests: RequestService,
+        upstream_client: UpstreamClient,
+        discovery: DiscoveryClient,
+        supervisor: Supervisor,
+        counters: Counters,
+    ) -> None:
+        """``config`` is the one that the process was started with."""
+        self.config = config
+        self._coordinator = coordinator
+        self._requests = requests
+        self._upstream_client = upstream_client
+        self._discovery = discovery
+        self._supervisor = supervisor
+        self._counters = counters
+
+    def reload(self) -> None:
+        """Read the file again and apply it, or log why the configuration stays as it is."""
+        try:
+            config = reload_config(os.environ, self.config)
+        except ConfigError as error:
+            self._counters.add("reloads_failed")
+            self._counters.log(f"reload rejected, the configuration is unchanged: {error}", "warning")
+            return
+        previous = self.config
+        try:
+            self._apply(config)
+        except Exception as error:  # what was applied before the fault is undone
+            self._counters.add("reloads_failed")
+            self._supervisor.fault("reload", error)
+            self._apply(previous)
+            return
+        self._counters.add("reloads")
+        names = ", ".join(cls.name for cls in config.settings.classes)
+        self._counters.log(f"configuration reloaded: classes {names}")
+        self._supervisor.keep_running("move of the watch", self._discovery.move, config.discovery)
+
+    def _apply(self, config: Config) -> None:
+        settings = config.settings
+        self._coordinator.apply_settings(settings)
+        self._upstream_client.apply_timeouts(settings.limits.connect_timeout, settings.limits.keepalive)
+        self.config = config
+        self._requests.settings = settings
+        self._discovery.pushed = not settings.polls_membership
--- /dev/null
+++ b/indigokeel/process/request_service.py
@@ -0,0 +1,157 @@
+"""The request handler of the process: what client connections ask of it, and which of them make room."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterator
+
+from indigokeel.balancing.settings import Settings
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_connection import ClientConnection
+from indigokeel.net.downstream.client_registry import ClientRegistry
+from indigokeel.net.messages import OutboundRequest
+from indigokeel.net.upstream.connection_pool import ConnectionPool
+from indigokeel.process.effect_executor import EffectExecutor
+from indigokeel.process.shutdown import ShutdownTimes
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Request
+
+# Of the reserved descriptors: for new clients while the others are busy or have yet to read their answer.
+_SPARE_CONNECTIONS = 12
+_MIN_BUDGET_S = 0.02  # of a request that arrives as the process ends
+
+
+class RequestService:
+    """Implements ``RequestHandler`` over the coordinator, and evicts client connections over the limit."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: RequestCoordinator,
+        executor: EffectExecutor,
+        clients: ClientRegistry[ClientConnection],
+        upstream_connections: ConnectionPool,
+        counters: Counters,
+    ) -> None:
+        """Create the handler of the connections in ``clients``."""
+        self.settings = settings  # those in force
+        self.closing = False  # no new connections are accepted, and each ends with its next answer
+        self.overloaded = False  # the process runs late, and may reject requests early
+        self._coordinator = coordinator
+        self._executor = executor
+        self._clients = clients
+        self._upstream_connections = upstream_connections
+        self._counters = counters
+        self._shutdown_times: ShutdownTimes | None = None
+
+    # --- requests -------------------------------------------------------------------------------------
+
+    def is_healthy(self) -> bool:
+        """Return True if a request could be served."""
+        return self._coordinator.has_upstreams() and not self.closing
+
+    def is_open(self, request_id: str) -> bool:
+        """Return True if a request of this id is open."""
+        return self._coordinator.is_open(request_id)
+
+    def handle_request(
+        self, client: ClientConnection, arrived: float, request: Request, outbound: OutboundRequest
+    ) -> None:
+        """Serve a request; its final response goes to ``client``, perhaps before this returns."""
+        times = self._shutdown_times
+        self._executor.expect(request.id, client, outbound)
+        self._clients.request_received(client)
+        if times is not None:  # it is answered while this process still runs
+            request.budget = min(request.budget, max(times.answer_by - arrived, _MIN_BUDGET_S))
+        self._executor.execute(self._coordinator.pick(arrived, request))
+        if times is not None and request.long:  # its time starts with its last byte, and ends no later
+            self._coordinator.limit_deadlines(times.answer_by)
+            self._executor.timer.lower()
+
+    def request_body_received(self, request_id: str) -> None:
+        """Start the time of a request whose long body was received."""
+        self._coordinator.request_body_received(time.monotonic(), request_id)
+        self._executor.timer.reset()
+
+    def shed_early(
+        self, client: ClientConnection, arrived: float, class_name: str, budget: float
+    ) -> float | None:
+        """Return the seconds after which a rejected client may retry, or None to serve its request."""
+        retry_after = self._coordinator.shed_early(arrived, class_name, budget)
+        if self._shutdown_times is not None and time.monotonic() >= self._shutdown_times.take_until:
+            retry_after = self.settings.limits.max_retry_after
+        if retry_after is not None:
+            self._clients.request_received(client)
+        return retry_after
+
+    def client_disconnected(self, request_id: str) -> None:
+        """End a request whose client has disconnected."""
+        self._executor.forget(request_id)
+        self._executor.execute(self._coordinator.client_disconnected(time.monotonic(), request_id))
+
+    # --- client connections ---------------------------------------------------------------------------
+
+    def is_crowded(self) -> bool:
+        """Return True if there are so many client connections that each ends with its answer."""
+        return self._clients.is_crowded()
+
+    def connection_opened(self, client: ClientConnection) -> None:
+        """Register a connection, and evict others over the limit."""
+        self._counters.add("client_connections")
+        self._clients.connection_opened(client, time.monotonic())
+        for spare in (0, _SPARE_CONNECTIONS):  # one that is sent an error first is closed with the next
+            if self._clients.is_over_limit(spare):
+                self._evict_for(client)
+
+    def connection_closing(self, client: ClientConnection) -> None:
+        """Record that a connection only waits for its peer to close."""
+        self._clients.connection_closing(client)
+
+    def connection_closed(self, client: ClientConnection) -> None:
+        """Remove a connection."""
+        self._clients.connection_closed(client)
+
+    def _evict_for(self, newest: ClientConnection) -> None:
+        """Evict one connection in favour of the newest, perhaps the newest itself."""
+        evicted = self._clients.select_eviction(newest, time.monotonic())
+        if evicted is newest:
+            if not self._clients.is_over_limit(_SPARE_CONNECTIONS):
+                return
+            self._counters.add("clients_over_limit")
+        if not evicted.ended:
+            self._counters.add("clients_evicted")
+        if evicted.evict():
+            self.connection_closed(evicted)
+
+    def make_room_for_backlog(self) -> None:
+        """Close one idle connection of each side: none can be accepted for want of descriptors or memory."""
+        self._upstream_connections.shed_idle()
+        evicted = self._clients.select_eviction_for_backlog(time.monotonic())
+        if evicted is not None:
+            self._counters.add("clients_evicted")
+            evicted.abort()
+            self.connection_closed(evicted)
+
+    # --- shutdown -------------------------------------------------------------------------------------
+
+    def begin_shutdown(self, times: ShutdownTimes) -> None:
+        """Bound the requests that are open, and those that still arrive, by the times of a shutdown."""
+        self._shutdown_times = times
+        self._coordinator.limit_deadlines(times.answer_by)
+
+    def client_connections(self) -> Iterator[ClientConnection]:
+        """Return all client connections."""
+        return iter(self._clients)
+
+    def answers_owed(self) -> bool:
+        """Return True if a request is open, or a byte of one is unread, or of an answer is unwritten."""
+        if self._coordinator.unanswered > 0:
+            return True
+        return any(
+            client.busy or client.has_unread_input() or client.has_unwritten_output()
+            for client in self._clients
+        )
+
+    def answer_all(self) -> None:
+        """Give every open request its final answer."""
+        self._executor.answer_all()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,6 +19,7 @@
 from indigokeel.config import load_config
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.process import sidecar
+from indigokeel.process.request_service import RequestService
 from tests.peers import (
     SETTINGS,
     WAIT,
@@ -464,22 +465,22 @@
     known = parse_endpoint_list(entry("s-0", upstream.port))
     addresses = {"listen": "127.0.0.1:3000", "discovery": "127.0.0.1:1"}  # neither is used
     config.write_text(json.dumps({"name": "n0", **addresses, "known": known, "settings": SETTINGS}))
-    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
-    monkeypatch.setattr(sidecar, "_HALF_READ", 0.0)
-    loaded, owed = load_config({"BALANCER_CONFIG": str(config)}), sidecar.Sidecar._anything_owed
+    monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
+    monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
+    loaded, owed = load_config({"BALANCER_CONFIG": str(config)}), RequestService.answers_owed
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as conn:
         listener.setblocking(False)
         conn.settimeout(WAIT)
         message = request("pay", b"last")
         sent = 0
 
-        def late(self: sidecar.Sidecar) -> bool:
+        def late(self: RequestService) -> bool:
             nonlocal sent
             if not sent:
                 sent = conn.send(message[-1:])
             return owed(self)
 
-        monkeypatch.setattr(sidecar.Sidecar, "_anything_owed", late)
+        monkeypatch.setattr(RequestService, "answers_owed", late)
 
         async def play() -> None:
             served = asyncio.create_task(sidecar.serve(loaded, listener))
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -275,7 +275,7 @@
         for number, data in enumerate(BROKEN.values(), 1):
             program.config.write_bytes(data)
             program.process.send_signal(signal.SIGHUP)
-            until(lambda told=number: program.log.read_text().count("stays as it was") == told)  # type: ignore[misc]
+            until(lambda told=number: program.log.read_text().count("the configuration is unchanged") == told)  # type: ignore[misc]
         assert program.ask(request("fresh"))[0] == 400
         # A class comes, one changes its effect; then one goes, and attempts become one.
         classes = [{**CLASSES[0]}, {**CLASSES[1], "effect": "unsafe"}, CLASSES[2]]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -261,7 +261,7 @@
             program.config.write_text(text)
             program.process.send_signal(signal.SIGHUP)
             # Each by itself: signals of one kind that wait are merged.
-            until(lambda told=number: program.log.read_text().count("stays as it was") == told)  # type: ignore[misc]
+            until(lambda told=number: program.log.read_text().count("the configuration is unchanged") == told)  # type: ignore[misc]
         until(lambda: program.counters()["reloads_failed"] == 3)
         for version in (2, 3):
             newer = DiscoveryClient()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,6 +19,7 @@
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.net.downstream.listener import ClientListener
 from indigokeel.process import sidecar
+from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import ShutdownTimes
 from indigokeel.requests.coordinator import RequestCoordinator
 from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_answer, request, running, until
@@ -182,7 +183,7 @@
     def plan(now: float, *_: float) -> ShutdownTimes:
         return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
 
-    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
+    monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(ShutdownTimes, "plan", plan)
     running = Running(tmp_path)
 
@@ -214,7 +215,7 @@
     (ClientConnection, "_end"),
     (ClientListener, "close"),
     (AdminServer, "close"),
-    (sidecar.Sidecar, "_anything_owed"),
+    (RequestService, "answers_owed"),
     (Counters, "dump"),
 ]
 
@@ -225,8 +226,8 @@
 ) -> None:
     """The upstream is silent, and from SIGTERM on the method raises each time: one whole answer still. A
     connection that brought nothing stands beside, so that one is left to be closed."""
-    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
-    monkeypatch.setattr(sidecar, "_HALF_READ", 0.0)
+    monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
+    monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
     running = Running(tmp_path, deadlines(0.5))
     running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, owner, method, 0)
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -23,7 +23,7 @@
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.net.upstream import DescriptorLeakDetector
 from indigokeel.net.upstream.client import UpstreamClient
-from indigokeel.process import sidecar, supervision
+from indigokeel.process import housekeeping, reload, sidecar, supervision
 from indigokeel.process.state_persistence import StatePersistence
 from indigokeel.process.supervision import Supervisor
 from indigokeel.requests.coordinator import RequestCoordinator
@@ -102,7 +102,7 @@
 
         async def both() -> None:
             served = asyncio.create_task(self.sidecar.run(self.listener))
-            await until(lambda: self.sidecar._accepting or served.done())
+            await until(lambda: self.sidecar.accepting or served.done())
             await script()
             os.kill(os.getpid(), signal.SIGTERM)
             async with asyncio.timeout(WAIT):
@@ -128,8 +128,8 @@
 def quick(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     """Short pauses, and the environment as it was."""
     monkeypatch.setattr(supervision, "_RESTART_PAUSE_S", 0.001)
-    monkeypatch.setattr(sidecar, "_LOOK", 0.01)
-    monkeypatch.setattr(sidecar, "_ACCEPT_ON", 0.0)
+    monkeypatch.setattr(housekeeping, "_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setenv("BALANCER_CONFIG", "")
 
 
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize(
     ("owner", "method"),
-    [(sidecar, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "apply_timeouts")],
+    [(reload, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "apply_timeouts")],
 )
 def test_reload_that_raises_changes_nothing_and_the_next_one_is_taken(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
