--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -54,14 +54,7 @@
         self._clients: ClientRegistry[ClientConnection] = ClientRegistry(budget.descriptors, budget.clients)
         self._upstream_client = self._make_upstream_client(config, budget)
         self._endpoint_feed = EndpointFeed(self._coordinator, self._execute)
-        self._discovery = DiscoveryClient(
-            config.discovery,
-            self._counters,
-            self._endpoint_feed.apply,
-            self._endpoint_feed.watch_failed,
-            self._endpoint_feed.apply_cached,
-        )
-        self._discovery.pushed = not config.settings.polls_membership
+        self._discovery = self._make_discovery(config)
         self._executor = EffectExecutor(
             self._coordinator, self._upstream_client, self._discovery, self._supervisor, self._counters
         )
@@ -111,6 +104,14 @@
             warm=prices.connection <= 0.0 and prices.handshake <= 0.0,
         )
 
+    def _make_discovery(self, config: Config) -> DiscoveryClient:
+        feed = self._endpoint_feed
+        discovery = DiscoveryClient(
+            config.discovery, self._counters, feed.apply, feed.watch_failed, feed.apply_cached
+        )
+        discovery.pushed = not config.settings.polls_membership
+        return discovery
+
     def _make_persistence(self, config: Config) -> StatePersistence | None:
         if not config.state_dir:
             return None
