--- /dev/null
+++ b/benchmarks/simulated_incidents.py
@@ -0,0 +1,100 @@
+"""Carry out the incidents of a scenario: failing upstreams, changes of the fleet, trouble of discovery."""
+
+from __future__ import annotations
+
+from functools import partial
+from random import Random
+from typing import Protocol
+
+from benchmarks.simulated_fleet import EventQueue, Fault, Fleet
+from benchmarks.wire_scenarios import Incident
+
+REMOVE_AFTER_DRAIN_S = 0.5
+
+_FAULTS = {fault.value: fault for fault in Fault}
+
+
+class Sidecars(Protocol):
+    """State what incidents need of the sidecars."""
+
+    def tell_subscribers(self) -> None:
+        """Send the changes of the endpoint list to the sidecars that are subscribed."""
+
+    def break_subscriptions(self) -> None:
+        """End all subscriptions; the sidecars are told."""
+
+    def restart_sidecar(self, number: int) -> None:
+        """Kill a sidecar and start it again in the same batch."""
+
+
+class IncidentPlayer:
+    """Begin and end incidents at their simulated times."""
+
+    def __init__(self, queue: EventQueue, fleet: Fleet, random: Random, sidecars: Sidecars) -> None:
+        self._queue, self._fleet, self._random, self._sidecars = queue, fleet, random, sidecars
+
+    def begin(self, incident: Incident) -> None:
+        """Begin an incident now and plan its end."""
+        if incident.kind in _FAULTS:
+            self._fail(incident)
+        elif incident.kind == "subscription-break":
+            self._sidecars.break_subscriptions()
+        elif incident.kind == "discovery-outage":
+            self._sidecars.break_subscriptions()
+            self._fleet.discovery.available = False
+            self._queue.after(incident.lasting_s, self._end_outage)
+        elif incident.kind == "restart-sidecar":
+            self._sidecars.restart_sidecar(0)
+        else:
+            self._change_list(incident)
+
+    def _end_outage(self) -> None:
+        self._fleet.discovery.available = True
+
+    def _draw(self, count: int) -> list[str]:
+        """Draw upstreams that discovery lists as serving."""
+        endpoints = self._fleet.discovery.endpoints.values()
+        serving = [endpoint.address for endpoint in endpoints if endpoint.lifecycle == "SERVING"]
+        return self._random.sample(serving, min(count, len(serving)))
+
+    def _fail(self, incident: Incident) -> None:
+        for address in self._draw(incident.count):
+            self._fleet.upstreams[address].fault = _FAULTS[incident.kind]
+            self._queue.after(incident.lasting_s, partial(self._recover, address))
+
+    def _recover(self, address: str) -> None:
+        self._fleet.upstreams[address].fault = Fault.NONE
+
+    def _change_list(self, incident: Incident) -> None:
+        """Change the endpoint list and tell the subscribers."""
+        if incident.kind == "add":
+            for _ in range(incident.count):
+                self._fleet.discovery.change(self._fleet.add(self._queue.now))
+        for address in self._draw(incident.count) if incident.kind != "add" else ():
+            if incident.kind == "restart":
+                self._fleet.upstreams[address].fault = Fault.DOWN
+                self._queue.after(incident.lasting_s, partial(self._restart, address))
+            elif incident.kind == "drain":
+                self._fleet.discovery.update(address, "DRAINING")
+                self._fleet.upstreams[address].fault = Fault.FULL
+                self._queue.after(REMOVE_AFTER_DRAIN_S, partial(self._remove, address))
+            elif incident.kind == "remove":
+                self._remove(address)
+            else:
+                raise ValueError(f"unknown incident {incident.kind!r}")
+        self._sidecars.tell_subscribers()
+
+    def _restart(self, address: str) -> None:
+        """Bring an upstream up again, cold, and list its new start."""
+        upstream = self._fleet.upstreams[address]
+        upstream.fault = Fault.NONE
+        upstream.restart(self._queue.now)
+        if address in self._fleet.discovery.endpoints:
+            self._fleet.discovery.update(address, started_s=self._queue.now)
+            self._sidecars.tell_subscribers()
+
+    def _remove(self, address: str) -> None:
+        self._fleet.upstreams[address].fault = Fault.DOWN
+        if address in self._fleet.discovery.endpoints:
+            self._fleet.discovery.update(address, "DELETED")
+            self._sidecars.tell_subscribers()
