--- a/benchmarks/simulated_fleet.py
+++ b/benchmarks/simulated_fleet.py
@@ -213,7 +213,7 @@
 
 @dataclass(slots=True)
 class Subscription:
-    """Remember what discovery has told one sidecar."""
+    """Remember what discovery has sent to one sidecar."""
 
     version: int
     active: bool = False
--- a/benchmarks/simulated_incidents.py
+++ b/benchmarks/simulated_incidents.py
@@ -21,7 +21,7 @@
         """Send the changes of the endpoint list to the sidecars that are subscribed."""
 
     def break_subscriptions(self) -> None:
-        """End all subscriptions; the sidecars are told."""
+        """End all subscriptions and report that to the sidecars."""
 
     def restart_sidecar(self, number: int) -> None:
         """Kill a sidecar and start it again in the same batch."""
--- a/benchmarks/simulated_traffic.py
+++ b/benchmarks/simulated_traffic.py
@@ -381,7 +381,7 @@
                 self._emit(sidecar, *self._discovery.changes(sidecar.number, sidecar.subscription))
 
     def break_subscriptions(self) -> None:
-        """End all subscriptions; the sidecars are told."""
+        """End all subscriptions and report that to the sidecars."""
         for sidecar in self._sidecars.values():
             if sidecar.subscription.active:
                 sidecar.subscription.active = False
