--- /dev/null
+++ b/benchmarks/compare_processes.py
@@ -0,0 +1,50 @@
+"""Compare two checkouts of the program on sockets: bytes written.
+
+``python3 -m benchmarks.compare_processes BASE_CHECKOUT NEW_CHECKOUT`` prints a line for each difference and
+exits with 1 where there is any. It uses only 127.0.0.0/8, and ports that are free.
+"""
+
+from __future__ import annotations
+
+import argparse
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+
+from benchmarks.comparison.bytes_comparison import compare_bytes
+from benchmarks.comparison.program import ComparisonError
+
+COMPARISONS = ("bytes",)
+
+
+def main() -> int:
+    """Run the comparisons; return 1 where anything differs, else 0."""
+    found = 0
+    try:
+        for line in _differences(_arguments()):
+            print(line, flush=True)
+            found += 1
+    except ComparisonError as error:
+        print(f"cannot be compared any further: {error}", flush=True)
+        found += 1
+    print(f"{found} differences", flush=True)
+    return 1 if found else 0
+
+
+def _arguments() -> argparse.Namespace:
+    parser = argparse.ArgumentParser(description="Compare two checkouts of the program on sockets.")
+    parser.add_argument("base", type=Path, metavar="BASE_CHECKOUT")
+    parser.add_argument("new", type=Path, metavar="NEW_CHECKOUT")
+    parser.add_argument("--only", choices=COMPARISONS, help="make one of the comparisons")
+    parser.add_argument("--scenario", default="", help="run only scenarios whose name contains this")
+    return parser.parse_args()
+
+
+def _differences(arguments: argparse.Namespace) -> Iterator[str]:
+    base, new = arguments.base.resolve(), arguments.new.resolve()
+    if arguments.only in (None, "bytes"):
+        yield from compare_bytes(base, new, arguments.scenario)
+
+
+if __name__ == "__main__":
+    sys.exit(main())
