--- a/benchmarks/comparison/bytes_comparison.py
+++ b/benchmarks/comparison/bytes_comparison.py
@@ -6,10 +6,12 @@
 from pathlib import Path
 
 from benchmarks.comparison.client_scenarios import CLIENT_SCENARIOS
+from benchmarks.comparison.operation_scenarios import OPERATION_SCENARIOS
 from benchmarks.comparison.scenario import Scenario, record
 from benchmarks.comparison.transcript import differences
+from benchmarks.comparison.upstream_scenarios import UPSTREAM_SCENARIOS
 
-SCENARIOS: tuple[Scenario, ...] = (*CLIENT_SCENARIOS,)
+SCENARIOS: tuple[Scenario, ...] = (*CLIENT_SCENARIOS, *UPSTREAM_SCENARIOS, *OPERATION_SCENARIOS)
 
 
 def compare_bytes(base: Path, new: Path, only: str = "") -> Iterator[str]:
