--- a/benchmarks/compare_processes.py
+++ b/benchmarks/compare_processes.py
@@ -1,4 +1,4 @@
-"""Compare two checkouts of the program on sockets: bytes written.
+"""Compare two checkouts of the program on sockets: bytes written, settings decoded.
 
 ``python3 -m benchmarks.compare_processes BASE_CHECKOUT NEW_CHECKOUT`` prints a line for each difference and
 exits with 1 where there is any. It uses only 127.0.0.0/8, and ports that are free.
@@ -13,8 +13,9 @@
 
 from benchmarks.comparison.bytes_comparison import compare_bytes
 from benchmarks.comparison.program import ComparisonError
+from benchmarks.comparison.settings_comparison import compare_settings
 
-COMPARISONS = ("bytes",)
+COMPARISONS = ("bytes", "settings")
 
 
 def main() -> int:
@@ -37,11 +38,16 @@
     parser.add_argument("new", type=Path, metavar="NEW_CHECKOUT")
     parser.add_argument("--only", choices=COMPARISONS, help="make one of the comparisons")
     parser.add_argument("--scenario", default="", help="run only scenarios whose name contains this")
+    parser.add_argument(
+        "--settings", type=Path, nargs="+", default=[], metavar="FILE", help="decode these settings as well"
+    )
     return parser.parse_args()
 
 
 def _differences(arguments: argparse.Namespace) -> Iterator[str]:
     base, new = arguments.base.resolve(), arguments.new.resolve()
+    if arguments.only in (None, "settings"):
+        yield from compare_settings(base, new, arguments.settings)
     if arguments.only in (None, "bytes"):
         yield from compare_bytes(base, new, arguments.scenario)
 
