--- a/benchmarks/compare_processes.py
+++ b/benchmarks/compare_processes.py
@@ -1,4 +1,4 @@
-"""Compare two checkouts of the program on sockets: bytes written, settings decoded.
+"""Compare two checkouts of the program on sockets: bytes written, settings decoded, state passed on.
 
 ``python3 -m benchmarks.compare_processes BASE_CHECKOUT NEW_CHECKOUT`` prints a line for each difference and
 exits with 1 where there is any. It uses only 127.0.0.0/8, and ports that are free.
@@ -13,9 +13,11 @@
 
 from benchmarks.comparison.bytes_comparison import compare_bytes
 from benchmarks.comparison.program import ComparisonError
+from benchmarks.comparison.restart_comparison import compare_restarts
 from benchmarks.comparison.settings_comparison import compare_settings
+from benchmarks.comparison.state_comparison import compare_state
 
-COMPARISONS = ("bytes", "settings")
+COMPARISONS = ("bytes", "settings", "state")
 
 
 def main() -> int:
@@ -50,6 +52,9 @@
         yield from compare_settings(base, new, arguments.settings)
     if arguments.only in (None, "bytes"):
         yield from compare_bytes(base, new, arguments.scenario)
+    if arguments.only in (None, "state"):
+        yield from compare_state(base, new)
+        yield from compare_restarts(base, new)
 
 
 if __name__ == "__main__":
