--- a/benchmarks/comparison/bytes_comparison.py
+++ b/benchmarks/comparison/bytes_comparison.py
@@ -8,14 +8,29 @@
 from benchmarks.comparison.client_scenarios import CLIENT_SCENARIOS
 from benchmarks.comparison.operation_scenarios import OPERATION_SCENARIOS
 from benchmarks.comparison.scenario import Scenario, record
-from benchmarks.comparison.transcript import differences
+from benchmarks.comparison.transcript import Difference, differences
 from benchmarks.comparison.upstream_scenarios import UPSTREAM_SCENARIOS
 
 SCENARIOS: tuple[Scenario, ...] = (*CLIENT_SCENARIOS, *UPSTREAM_SCENARIOS, *OPERATION_SCENARIOS)
 
 
+# A machine that holds a process up once makes a timing figure smaller once. Where nothing else differs, both
+# sides are recorded anew, and the figure counts as different if it is so each time.
+MAX_RECORDINGS = 3
+
+
 def compare_bytes(base: Path, new: Path, only: str = "") -> Iterator[str]:
     """Yield a line for each difference. ``only`` restricts it to scenarios whose name contains it."""
     for scenario in SCENARIOS:
         if only in scenario.name:
-            yield from differences(scenario.name, record(scenario, base), record(scenario, new))
+            yield from (difference.line for difference in _compare(scenario, base, new))
+
+
+def _compare(scenario: Scenario, base: Path, new: Path) -> list[Difference]:
+    """Return the differences of one scenario."""
+    found: list[Difference] = []
+    for _ in range(MAX_RECORDINGS):
+        found = list(differences(scenario.name, record(scenario, base), record(scenario, new)))
+        if not found or not all(difference.timing_only for difference in found):
+            break
+    return found
