--- a/benchmarks/compare_processes.py
+++ b/benchmarks/compare_processes.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import argparse
+import signal
 import sys
 from collections.abc import Iterator
 from pathlib import Path
@@ -22,6 +23,8 @@
 
 def main() -> int:
     """Run the comparisons; return 1 where anything differs, else 0."""
+    # Ended so, it still ends the processes that it has started.
+    signal.signal(signal.SIGTERM, lambda number, _: sys.exit(128 + number))
     found = 0
     try:
         for line in _differences(_arguments()):
--- a/benchmarks/comparison/operation_scenarios.py
+++ b/benchmarks/comparison/operation_scenarios.py
@@ -10,7 +10,7 @@
 from benchmarks.comparison.discovery import Discovery, Endpoint, EndpointList
 from benchmarks.comparison.messages import chunked, request, response
 from benchmarks.comparison.program import CLIENT_HOST, Options, wait_until
-from benchmarks.comparison.scenario import Scenario, ScenarioContext, settings_with
+from benchmarks.comparison.scenario import UNRECORDED_PREFIX, Scenario, ScenarioContext, settings_with
 from benchmarks.comparison.upstream_scenarios import SHORT_TIMEOUT_MS, ask_each_class
 from benchmarks.comparison.upstreams import echo
 
@@ -113,16 +113,10 @@
     numbers = iter(range(10**6))
 
     def served() -> bool:
-        data = request(request_class, f"probe-{next(numbers)}", timeout_ms=SHORT_TIMEOUT_MS)
+        data = request(request_class, f"{UNRECORDED_PREFIX}{next(numbers)}", timeout_ms=SHORT_TIMEOUT_MS)
         return context.program.exchange(data).status == 200
 
     wait_until(served, what)
-    _forget_probes(context)
-
-
-def _forget_probes(context: ScenarioContext) -> None:
-    messages = context.received.messages
-    messages[:] = [m for m in messages if not m.header("Request-Id").startswith("probe-")]
 
 
 def run_endpoint_lists(context: ScenarioContext) -> None:
--- a/benchmarks/comparison/scenario.py
+++ b/benchmarks/comparison/scenario.py
@@ -16,6 +16,8 @@
 from benchmarks.comparison.transcript import KnownAddress, Transcript
 from benchmarks.comparison.upstreams import Received, Script, Upstream
 
+UNRECORDED_PREFIX = "unrecorded-"  # of the ids of requests whose number or attempts are a matter of time
+
 
 class Client:
     """One client connection, or one of an operator, whose responses go to the transcript."""
@@ -169,7 +171,8 @@
         for server in (*self._upstreams, self.discovery):
             server.close()
         for message in self.received.messages:
-            self.transcript.add_message("upstream", message)
+            if not message.header("Request-Id").startswith(UNRECORDED_PREFIX):
+                self.transcript.add_message("upstream", message)
         for message in self.discovery.received:
             self.transcript.add_message("discovery", message)
 
--- a/benchmarks/comparison/upstream_scenarios.py
+++ b/benchmarks/comparison/upstream_scenarios.py
@@ -8,7 +8,7 @@
 from benchmarks.comparison.discovery import Endpoint
 from benchmarks.comparison.messages import Message, chunked, request, response
 from benchmarks.comparison.program import free_port, wait_until
-from benchmarks.comparison.scenario import Scenario, ScenarioContext, settings_with
+from benchmarks.comparison.scenario import UNRECORDED_PREFIX, Scenario, ScenarioContext, settings_with
 from benchmarks.comparison.upstreams import After, Reply, Script, echo
 
 SHORT_TIMEOUT_MS = 400
@@ -162,8 +162,7 @@
 
     program = context.start(*(context.upstream(respond) for _ in range(2)), settings=settings)
     for number in range(WARM_UP_REQUESTS):  # a second copy goes out by latencies that are known
-        program.exchange(request("view", f"warm-up-{number}"))
-    context.received.messages.clear()
+        program.exchange(request("view", f"{UNRECORDED_PREFIX}{number}"))
     context.ask("second copy: view", request("view", "copy-view"))
     context.ask("second copy: pay", request("pay", "copy-pay", b"amount", timeout_ms=SHORT_TIMEOUT_MS))
 
