--- a/benchmarks/comparison/scenario.py
+++ b/benchmarks/comparison/scenario.py
@@ -11,7 +11,7 @@
 from typing import Any, BinaryIO, cast
 
 from benchmarks.comparison.discovery import Discovery, Endpoint, EndpointList
-from benchmarks.comparison.messages import LINE_END, Message, read_message
+from benchmarks.comparison.messages import LINE_END, PEER_TIMEOUT_S, Message, read_message
 from benchmarks.comparison.program import BASIC_SETTINGS, ComparisonError, Options, Program, wait_until
 from benchmarks.comparison.transcript import KnownAddress, Transcript
 from benchmarks.comparison.upstreams import Received, Script, Upstream
@@ -99,6 +99,7 @@
         self.received = Received()
         self.discovery = Discovery()
         self.program: Program
+        self.unrecorded_target = ""  # of requests whose number is a matter of time
         self._checkout = checkout
         self._upstreams: list[Upstream] = []
         self._programs: list[Program] = []
@@ -140,7 +141,7 @@
 
     def operator(self, label: str) -> Client:
         """Open an operator's connection."""
-        connection = socket.create_connection(self.program.operator_address, timeout=20.0)
+        connection = socket.create_connection(self.program.operator_address, timeout=PEER_TIMEOUT_S)
         return Client(label, connection, self.transcript)
 
     def ask(self, label: str, *pieces: bytes, responses: int = 1) -> None:
@@ -171,11 +172,16 @@
         for server in (*self._upstreams, self.discovery):
             server.close()
         for message in self.received.messages:
-            if not message.header("Request-Id").startswith(UNRECORDED_PREFIX):
+            if self._recorded(message):
                 self.transcript.add_message("upstream", message)
         for message in self.discovery.received:
             self.transcript.add_message("discovery", message)
 
+    def _recorded(self, message: Message) -> bool:
+        if self.unrecorded_target and message.target == self.unrecorded_target:
+            return False
+        return not message.header("Request-Id").startswith(UNRECORDED_PREFIX)
+
 
 @contextmanager
 def temporary_folder() -> Iterator[Path]:
@@ -196,12 +202,12 @@
 
 
 def record(scenario: Scenario, checkout: Path) -> Transcript:
-    """Run one scenario at one checkout. One that cannot be run to its end is recorded so far."""
+    """Run one scenario at one checkout. One that cannot be run to its end is a failure."""
     with scenario_context(checkout) as made:
         try:
             scenario.run(made)
         except (ComparisonError, OSError) as error:
-            made.transcript.add_note("scenario", f"cannot be run to its end: {error}")
+            made.transcript.failure = str(error) or type(error).__name__
     return made.transcript
 
 
--- a/benchmarks/comparison/transcript.py
+++ b/benchmarks/comparison/transcript.py
@@ -80,6 +80,7 @@
 
     entries: list[Entry] = field(default_factory=list)
     addresses: list[KnownAddress] = field(default_factory=list)
+    failure: str = ""  # why the scenario could not be run to its end, which counts on either side
 
     def add_message(self, channel: str, message: Message) -> None:
         """Add one message."""
@@ -105,7 +106,11 @@
 
 
 def differences(scenario: str, base: Transcript, new: Transcript) -> Iterator[Difference]:
-    """Yield each entry that differs."""
+    """Yield each entry that differs, and each side that could not be recorded to its end."""
+    for side, transcript in (("BASE", base), ("NEW", new)):
+        if transcript.failure:
+            line = f"bytes: {scenario}: cannot be run to its end at {side}: {transcript.failure}"
+            yield Difference(line, timing_only=False)
     for number, (mine, theirs) in enumerate(zip_longest(base.normalised(), new.normalised())):
         same_bytes = mine is not None and theirs is not None and mine.same_bytes(theirs)
         if same_bytes and mine.same_times(theirs):
--- a/benchmarks/comparison/upstream_scenarios.py
+++ b/benchmarks/comparison/upstream_scenarios.py
@@ -180,12 +180,11 @@
             return Reply(response(200, b"inflight=0,util=0.1,latency_ms=80,qps=20"))
         return echo(message)
 
+    context.unrecorded_target = "/_load"
     context.start(context.upstream(respond), settings=settings)
     ask_each_class(context, "probed")
     wait_until(lambda: bool(probes), "a probe")
     context.transcript.add_message("first probe", probes[0])
-    # How many probes there are, and when, is a matter of time.
-    context.received.messages[:] = [m for m in context.received.messages if "/_load" not in m.target]
 
 
 UPSTREAM_SCENARIOS = (
