--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -152,9 +152,9 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--jobs", type=int, default=8000)
-    parser.add_argument("--rate", type=float, default=0.0, help="jobs a second; 0: as fast as answers come")
-    parser.add_argument("--nodes", type=int, default=2)
+    parser.add_argument("--requests", type=int, default=8000, help="in each round")
+    parser.add_argument("--rate", type=float, default=0.0, help="requests a second; 0: without a limit")
+    parser.add_argument("--upstreams", type=int, default=2)
     parser.add_argument("--other", type=Path, help="another checkout, whose daemon takes turns too")
     options = parser.parse_args()
     with (
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -18,7 +18,13 @@
 import uvloop
 
 from benchmarks.exchange import memory_kb, roles, start_daemon
-from indigokeel.net.upstream import ConnectionLimits, ConnectionPool, UpstreamConnection
+from indigokeel.net.upstream import (
+    CloseReason,
+    ConnectionLimits,
+    ConnectionPool,
+    Telemetry,
+    UpstreamConnection,
+)
 
 _JOB = (
     b"GET /view/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %x\r\nRequest-Class: view\r\n"
@@ -53,11 +59,14 @@
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
 
-    def heard(self, data: bytes) -> None:
-        """Nothing is made of it."""
+    def on_data(self, data: bytes) -> None:
+        """Ignore received bytes (ConnectionHandler)."""
+
+    def on_writable(self) -> None:
+        """Do nothing: nothing is written (ConnectionHandler)."""
 
-    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
-        """Nor of its end."""
+    def on_closed(self, reason: CloseReason) -> None:
+        """Ignore the end of the connection (ConnectionHandler)."""
 
 
 async def _nodes(port: int, connections: int) -> float:
@@ -65,9 +74,7 @@
     manager = ConnectionPool(
         ConnectionLimits(connections, connections, connections),
         _Quiet,
-        lambda _: None,
-        lambda *_: None,
-        time.monotonic,
+        Telemetry(lambda _: None, lambda *_: None, time.monotonic),
     )
     up: list[UpstreamConnection] = []
     before = memory_kb(os.getpid())
--- a/indigokeel/net/messages.py
+++ b/indigokeel/net/messages.py
@@ -1,4 +1,4 @@
-"""What the client side and the upstream side hand to each other: a request to forward, and its response."""
+"""The messages between the client side and the upstream side: a request to forward, and its response."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class OutboundRequest:
-    """What of a client's message goes on to an upstream, unchanged."""
+    """The parts of a client's request that are forwarded unchanged."""
 
     method: bytes
     target: bytes
@@ -20,18 +20,18 @@
     key: bytes | None
     body: http.Body
     has_body: bool
-    unsafe: bool = False  # it must never run twice
-    request_stream: RequestStream | None = None  # instead of ``body``, where that is long
-    # Asked right before an attempt's first byte: whether its client has closed by now. Where so, that is
-    # told on, and the attempt given up.
+    unsafe: bool = False  # must never run twice
+    request_stream: RequestStream | None = None  # in place of ``body``, if that is long
+    # Called right before an attempt's first byte: returns whether the client has disconnected, so that the
+    # attempt must not be sent, and reports the disconnect.
     left: Callable[[], bool] = lambda: False
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """What came of an attempt."""
+    """The result of an attempt."""
 
     outcome: AttemptOutcome
-    load: dict[str, float] | None = None
+    load: dict[str, float] | None = None  # as reported by the upstream
     body: http.Body | None = None
-    stream: ResponseStream | None = None  # instead of ``body``, where that is long: it goes on coming
+    stream: ResponseStream | None = None  # in place of ``body``, if that is long
--- a/indigokeel/net/streams.py
+++ b/indigokeel/net/streams.py
@@ -1,6 +1,6 @@
-"""Long bodies on their way, in pieces, with no more of them here than both sides' pace asks for. No I/O.
+"""Long bodies in transit, with flow control in both directions. No I/O.
 
-A body within ``http.MAX_BODY`` never comes here: it is read whole.
+A body of at most ``http.MAX_BODY`` bytes is read in full instead.
 """
 
 from __future__ import annotations
@@ -10,156 +10,194 @@
 
 from indigokeel.net import http
 
-_HIGH = 64 * 1024  # bytes that wait here before the side they come from is told to stop
+_HIGH_WATER_BYTES = 64 * 1024  # buffered before the source is paused
 
 
 class Source(Protocol):
     """The connection that a body comes from."""
 
-    def pause(self) -> None: ...
+    def pause(self) -> None:
+        """Stop reading."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Read again."""
 
 
 class RequestStreamSource(Source, Protocol):
     """The client connection that a long body comes from."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed, asked of the system."""
+        """Return whether the client has closed its connection, asked of the system."""
 
 
 class Reader(Protocol):
-    """Who takes an answer's body."""
+    """The receiver of a response's body."""
 
-    def body(self, pieces: http.Body) -> None: ...
+    def body(self, pieces: http.Body) -> None:
+        """Handle a part of the body."""
 
     def body_ended(self, whole: bool) -> None:
-        """``whole``: else it broke off, and its taker has to show that."""
+        """Handle the end of the body, which is incomplete unless ``whole``."""
+
+
+def _do_nothing() -> None:
+    """Stand in for a callback that is not set yet."""
 
 
 class ResponseStream:
-    """A long answer, from the upstream's connection to the client's. ``length`` in bytes, -1 where the
-    upstream tells none."""
+    """The body of a long response, from the upstream's connection to the client's.
+
+    ``length`` is in bytes, -1 if the upstream does not give it. ``on_cancel`` closes the connection to it.
+    """
 
-    __slots__ = ("_drop", "_reader", "_source", "length", "over")
+    __slots__ = ("_reader", "_source", "has_ended", "length", "on_cancel")
 
     def __init__(self, source: Source, length: int) -> None:
-        self._source, self.length = source, length
+        self.length = length
+        self.has_ended = False
+        self.on_cancel: Callable[[], None] = _do_nothing
+        self._source = source
         self._reader: Reader | None = None
-        self._drop: Callable[[], None] = lambda: None
-        self.over = False
 
-    def owned(self, drop: Callable[[], None]) -> None:
-        """``drop`` closes the connection that it comes from."""
-        self._drop = drop
-
-    def taken(self) -> bool:
+    @property
+    def is_attached(self) -> bool:
+        """Whether the stream has a reader."""
         return self._reader is not None
 
     def attach(self, reader: Reader) -> None:
+        """Set the receiver of the body."""
         self._reader = reader
 
-    def feed(self, pieces: http.Body) -> None:
-        if self._reader is not None and pieces:
-            self._reader.body(pieces)
-
-    def end(self, whole: bool) -> None:
-        """The last of it was fed, or no more will come."""
-        if not self.over:
-            self.over = True
-            self._source.resume()  # whatever it is used for next
-            if self._reader is not None:
-                self._reader.body_ended(whole)
-
-    def wait(self) -> None:
-        """The reader cannot take more now."""
-        if not self.over:
+    def feed(self, chunks: http.Body) -> None:
+        """Pass a part of the body to the reader."""
+        if self._reader is not None and chunks:
+            self._reader.body(chunks)
+
+    def end(self, is_complete: bool) -> None:
+        """End the stream after its last part."""
+        if self.has_ended:
+            return
+        self.has_ended = True
+        self._source.resume()  # for the next response on the connection
+        if self._reader is not None:
+            self._reader.body_ended(is_complete)
+
+    def pause(self) -> None:
+        """Stop the source while the reader cannot take more."""
+        if not self.has_ended:
             self._source.pause()
 
-    def go_on(self) -> None:
-        if not self.over:
+    def resume(self) -> None:
+        """Continue after a pause."""
+        if not self.has_ended:
             self._source.resume()
 
-    def abandon(self) -> None:
-        """Nobody wants the rest."""
-        if not self.over:
-            self.over, self._reader = True, None
-            self._drop()
+    def cancel(self) -> None:
+        """Discard the rest of the body; the reader is not notified."""
+        if not self.has_ended:
+            self.has_ended = True
+            self._reader = None
+            self.on_cancel()
+
+    # The names that indigokeel.net.downstream uses.
+    wait = pause
+    go_on = resume
+    abandon = cancel
 
 
 class Sink(Protocol):
     """The connection that a body goes to."""
 
-    def clear(self) -> bool:
-        """Whether all that was written has been taken."""
+    def is_writable(self) -> bool:
+        """Return whether all that was written has been sent."""
 
-    def write(self, pieces: http.Body) -> None: ...
+    def write(self, chunks: http.Body) -> None:
+        """Write a part of the body."""
 
 
 class RequestStream:
-    """A long body of a request, from the client's connection to an upstream's, once. ``length`` in bytes,
-    -1 where it comes in chunks."""
+    """The body of a long request, from the client's connection to one upstream's.
+
+    ``length`` is in bytes, -1 if the body is chunked. ``is_complete`` is set when its last byte has been
+    received, ``is_fully_written`` when that has been written to the upstream.
+    """
 
     __slots__ = (
-        "_came", "_dropped", "_held", "_holding", "_sink", "_size", "_source", "length", "passed", "whole",
+        "_buffered", "_buffered_bytes", "_is_discarded", "_is_source_paused", "_received_bytes", "_sink",
+        "_source", "is_complete", "is_fully_written", "length",
     )  # fmt: skip
 
-    def __init__(self, source: RequestStreamSource, length: int, held: http.Body) -> None:
-        self._source, self.length, self._held = source, length, held
-        self._size = self._came = sum(map(len, held))  # bytes here, and in all so far
+    def __init__(self, source: RequestStreamSource, length: int, received: http.Body) -> None:
+        self.length = length
+        self.is_complete = False
+        self.is_fully_written = False
+        self._source = source
         self._sink: Sink | None = None
-        self._holding = self._dropped = False
-        self.whole = False  # its last byte is here
-        self.passed = False  # ... and was written on
+        self._buffered = received
+        self._buffered_bytes = sum(map(len, received))
+        self._received_bytes = self._buffered_bytes
+        self._is_source_paused = False
+        self._is_discarded = False
 
     def add(self, data: bytes) -> None:
-        if self._dropped:
+        """Take a part of the body, and pause the source if too much is buffered."""
+        if self._is_discarded:
             return
-        self._held.append(data)
-        self._size += len(data)
-        self._came += len(data)
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        self._received_bytes += len(data)
         self.flush()
-        if self._size > _HIGH and not self._holding:
-            self._holding = True
+        if self._buffered_bytes > _HIGH_WATER_BYTES and not self._is_source_paused:
+            self._is_source_paused = True
             self._source.pause()
 
     def end(self) -> None:
-        self.whole = True
+        """Mark the body as complete."""
+        self.is_complete = True
         self.flush()
 
     def attach(self, sink: Sink) -> None:
+        """Set the connection to write to."""
         self._sink = sink
         self.flush()
 
     def flush(self) -> None:
-        """Write on what is here, if what was written before has been taken."""
+        """Write what is buffered, if the sink has sent all that was written before."""
         sink = self._sink
-        if sink is None or self.passed or not sink.clear():
+        if sink is None or self.is_fully_written or not sink.is_writable():
             return
-        # For the upstream an attempt begins with the last byte. Guards against the client that left while
-        # nothing was read of it, because this side was full.
-        last = self.whole or self._came == self.length
-        if last and self._source.has_disconnected():
+        # An upstream starts a request with its last byte. While the source was paused, the disconnect of its
+        # client was not read.
+        is_last = self.is_complete or self._received_bytes == self.length
+        if is_last and self._source.has_disconnected():
             return
-        pieces, self._held, self._size = self._held, [], 0
+        chunks = self._buffered
+        self._buffered = []
+        self._buffered_bytes = 0
         if self.length < 0:
-            pieces = http.chunk(pieces, self.whole)
-        self.passed = self.whole
-        if pieces:
-            sink.write(pieces)
-        self._release()
-
-    def drop(self) -> None:
-        """Nobody wants the rest: it is read and thrown away."""
-        self._dropped, self._sink, self._size = True, None, 0
-        self._held.clear()
-        self._release()
-
-    def all(self) -> http.Body:
-        """Everything, where it came whole before it was passed on."""
-        return self._held
-
-    def _release(self) -> None:
-        if self._holding:
-            self._holding = False
+            chunks = http.chunk(chunks, self.is_complete)
+        self.is_fully_written = self.is_complete
+        if chunks:
+            sink.write(chunks)
+        self._resume_source()
+
+    def discard(self) -> None:
+        """Drop what is buffered and all that follows."""
+        self._is_discarded = True
+        self._sink = None
+        self._buffered_bytes = 0
+        self._buffered.clear()
+        self._resume_source()
+
+    def buffered(self) -> http.Body:
+        """Return what has been received and not written."""
+        return self._buffered
+
+    def _resume_source(self) -> None:
+        if self._is_source_paused:
+            self._is_source_paused = False
             self._source.resume()
+
+    # The names that indigokeel.net.downstream uses.
+    drop = discard
+    all = buffered
--- a/indigokeel/net/upstream/__init__.py
+++ b/indigokeel/net/upstream/__init__.py
@@ -1,16 +1,26 @@
-"""The upstream side: connections, their pool, and attempts carried over HTTP/1.1.
+"""The client for upstreams: a connection pool, and attempts sent over HTTP/1.1.
 
-``connection_table``, ``circuit_breaker``, ``backoff`` and ``idle_resets`` decide and do no I/O;
-``connection`` holds one descriptor; ``connection_pool`` ties them together; ``descriptor_audit`` compares the
-table with the descriptors that the process really holds; ``client`` carries attempts."""
+``connection_table``, ``circuit_breaker``, ``backoff``, ``idle_resets`` and ``response_parser`` do no I/O.
+``connection`` owns one descriptor, with ``socket_reader`` and ``socket_writer``; ``upstream_exchange`` is the
+protocol spoken on it. ``connection_pool`` hands connections out, with ``connector``, ``waiter_queue`` and
+``dispatcher``. ``client`` is what the process uses, with ``attempt_sender`` and ``health_check``.
+``descriptor_audit`` compares the table with the descriptors that the process holds.
+"""
 
-from indigokeel.net.upstream.connection import ConnectionHandler, UpstreamConnection
-from indigokeel.net.upstream.connection_pool import ConnectFailure, ConnectionPool, ConnectionWaiter
+from indigokeel.net.upstream.connection import CloseReason, ConnectionHandler, UpstreamConnection
+from indigokeel.net.upstream.connection_pool import ConnectionPool, PoolOptions
 from indigokeel.net.upstream.connection_table import ConnectionLimits, ConnectionState
-from indigokeel.net.upstream.descriptor_audit import DescriptorLeakDetector, DescriptorMismatch
+from indigokeel.net.upstream.descriptor_audit import (
+    DescriptorLeakDetector,
+    DescriptorMismatch,
+    MismatchKind,
+)
 from indigokeel.net.upstream.idle_resets import IdleResetEstimator
+from indigokeel.net.upstream.telemetry import Telemetry
+from indigokeel.net.upstream.waiter_queue import ConnectFailure, ConnectionWaiter
 
 __all__ = [
+    "CloseReason",
     "ConnectFailure",
     "ConnectionHandler",
     "ConnectionLimits",
@@ -20,5 +30,8 @@
     "DescriptorLeakDetector",
     "DescriptorMismatch",
     "IdleResetEstimator",
+    "MismatchKind",
+    "PoolOptions",
+    "Telemetry",
     "UpstreamConnection",
 ]
--- /dev/null
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -0,0 +1,282 @@
+"""Carries one attempt to an upstream: connect, last checks, write, response."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+from typing import Protocol
+
+from indigokeel.balancing.events import AttemptOutcome
+from indigokeel.metrics import Counters
+from indigokeel.net.errors import LocalError
+from indigokeel.net.messages import OutboundRequest, UpstreamResponse
+from indigokeel.net.upstream.backoff import Backoff
+from indigokeel.net.upstream.circuit_breaker import Address
+from indigokeel.net.upstream.connection import UpstreamConnection
+from indigokeel.net.upstream.delayed_release import DelayedRelease
+from indigokeel.net.upstream.idle_resets import IdleResetEstimator
+from indigokeel.net.upstream.request_head import head_after_timeout, head_before_timeout
+from indigokeel.net.upstream.upstream_exchange import UpstreamExchange
+from indigokeel.net.upstream.waiter_queue import ConnectFailure, ConnectionWaiter, OnResult
+from indigokeel.requests.effects import Attempt
+
+_NEW_CONNECTION = -1.0  # idle time of a connection that was opened for its attempt
+
+OnEnded = Callable[[Attempt, UpstreamResponse], None]
+
+
+class ConnectionProvider(Protocol):
+    """The pool that connections come from."""
+
+    def acquire(
+        self, upstream: str, address: Address, timeout_s: float, on_result: OnResult, unsafe: bool = False
+    ) -> UpstreamConnection | ConnectionWaiter:
+        """Return a connection, or a waiter for one."""
+
+    def cancel(self, waiter: ConnectionWaiter) -> None:
+        """End a wait."""
+
+    def release(self, connection: UpstreamConnection, reusable: bool) -> None:
+        """End a call on a connection."""
+
+    def close(self, connection: UpstreamConnection) -> None:
+        """Close a connection."""
+
+
+class AttemptPolicy(Protocol):
+    """The decisions that an attempt depends on."""
+
+    def address(self, upstream: str) -> Address | None:
+        """Return the address of an upstream, or None if it accepts no new requests."""
+
+    def may_begin(self, now: float, attempt: Attempt) -> bool:
+        """Return whether an attempt may still be sent."""
+
+    def is_open(self, request_id: str) -> bool:
+        """Return whether a request has not ended."""
+
+
+class AttemptOwner(Protocol):
+    """The owner of the attempts in flight."""
+
+    def on_attempt_ended(self, sender: AttemptSender, response: UpstreamResponse) -> None:
+        """Handle the result of an attempt."""
+
+    def on_attempt_dropped(self, sender: AttemptSender) -> None:
+        """Handle an attempt that was not sent and whose request has ended."""
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptServices:
+    """What all attempts share."""
+
+    policy: AttemptPolicy
+    connections: ConnectionProvider
+    delayed_release: DelayedRelease
+    idle_resets: IdleResetEstimator
+    counters: Counters
+    owner: AttemptOwner
+
+    def has_moved(self, connection: UpstreamConnection) -> bool:
+        """Return whether an upstream accepts no requests any more, or none at a connection's address."""
+        return self.policy.address(connection.upstream) != connection.address
+
+
+class AttemptSender:
+    """One attempt in flight (OnResult of its waiter, Call of its exchange)."""
+
+    __slots__ = (
+        "_backoff", "_connection", "_exchange", "_head_after", "_head_before", "_idle_s", "_is_streaming",
+        "_outbound", "_pending", "_send_until", "_services", "_was_abandoned", "attempt", "on_ended",
+    )  # fmt: skip
+
+    streams_response = True
+
+    def __init__(
+        self,
+        services: AttemptServices,
+        attempt: Attempt,
+        outbound: OutboundRequest,
+        on_ended: OnEnded,
+        send_until: float,
+    ) -> None:
+        """``send_until`` is the clock time at which the first byte must have been written."""
+        self.attempt = attempt
+        self.on_ended = on_ended
+        self._services = services
+        self._outbound = outbound
+        self._send_until = send_until
+        self._pending: UpstreamConnection | ConnectionWaiter | asyncio.Handle | None = None
+        self._connection: UpstreamConnection | None = None
+        self._exchange: UpstreamExchange | None = None
+        self._backoff: Backoff | None = None  # between writes that failed on this machine
+        self._idle_s = _NEW_CONNECTION
+        self._is_streaming = False
+        self._was_abandoned = False
+
+    @property
+    def key(self) -> tuple[str, int]:
+        """The request and the number of the attempt in it."""
+        return self.attempt.request, self.attempt.number
+
+    @property
+    def is_cancellable(self) -> bool:
+        """Whether the attempt waits for something, rather than being sent at this moment."""
+        return self._pending is not None
+
+    def connect(self, now: float) -> None:
+        """Acquire a connection and send the attempt on it."""
+        services = self._services
+        upstream = self.attempt.upstream
+        address = services.policy.address(upstream)
+        if address is None:
+            self.end_soon(AttemptOutcome.NOT_SENT)
+            return
+        timeout_s = max(self._send_until - now, 0.0)
+        acquired = services.connections.acquire(
+            upstream, address, timeout_s, self._on_acquired, self._outbound.unsafe
+        )
+        if isinstance(acquired, UpstreamConnection):
+            self._send(acquired)
+        else:
+            self._pending = acquired
+
+    def end_soon(self, outcome: AttemptOutcome) -> None:
+        """End the attempt in the next iteration of the event loop, unless it is cancelled before."""
+        response = UpstreamResponse(outcome)
+        self._pending = asyncio.get_running_loop().call_soon(self._end, response)
+
+    def cancel(self) -> None:
+        """Stop the attempt and close its connection; ``on_ended`` is not called."""
+        pending, self._pending = self._pending, None
+        if isinstance(pending, UpstreamConnection):
+            self._services.connections.close(pending)
+        elif isinstance(pending, ConnectionWaiter):
+            self._services.connections.cancel(pending)
+        elif pending is not None:
+            pending.cancel()
+
+    def build_message(self) -> list[bytes] | None:
+        """Return the message, or None if it must not be sent any more (Call).
+
+        The client is asked after the clock, as it allows the least delay: a request may be timed out up to
+        0.15 s late, but must not be sent 0.1 s after its client has disconnected. The checks after it make no
+        system call.
+        """
+        connection = self._connection
+        assert connection is not None
+        now = time.monotonic()
+        remaining_ms = int((self.attempt.until - now) * 1000.0)
+        if connection.idle_since > 0.0:
+            self._idle_s = now - connection.idle_since
+        outbound = self._outbound
+        message = [b"%s%d%s" % (self._head_before, remaining_ms, self._head_after)]
+        if outbound.has_body and outbound.request_stream is None:
+            message += outbound.body
+        if outbound.left():
+            self._was_abandoned = True
+            return None
+        services = self._services
+        if remaining_ms < 1 or services.has_moved(connection):
+            return None
+        return message if services.policy.may_begin(now, self.attempt) else None
+
+    def on_response_started(self, response: UpstreamResponse) -> None:
+        """Pass on a long response before its end (Call)."""
+        services = self._services
+        connection = self._connection
+        stream = response.stream
+        assert connection is not None and stream is not None
+        self._is_streaming = True
+        services.idle_resets.record(time.monotonic(), self._idle_s, False)
+        stream.on_cancel = lambda: services.connections.close(connection)
+        services.counters.add("answers_begun")
+        self._end(response)
+        if not stream.is_attached:
+            stream.cancel()
+
+    def on_response_ended(self, response: UpstreamResponse, is_reusable: bool) -> None:
+        """Release the connection, and end the attempt unless its response was streamed (Call)."""
+        services = self._services
+        connection = self._connection
+        assert connection is not None
+        if not self._is_streaming:
+            was_reset = response.outcome is AttemptOutcome.BROKEN
+            services.idle_resets.record(time.monotonic(), self._idle_s, was_reset)
+        if is_reusable:
+            assert self._exchange is not None
+            services.delayed_release.schedule(connection, self._exchange)
+        else:
+            services.connections.release(connection, False)
+        if not self._is_streaming:
+            self._end(response)
+
+    def _on_acquired(self, result: UpstreamConnection | ConnectFailure) -> None:
+        if isinstance(result, UpstreamConnection):
+            self._send(result)
+        elif result is ConnectFailure.LOCAL:
+            self._end(UpstreamResponse(AttemptOutcome.NOT_SENT))
+        else:
+            self._end(UpstreamResponse(AttemptOutcome.NO_CONNECTION))
+
+    def _send(self, connection: UpstreamConnection) -> None:
+        """Write the attempt on a connection, unless the last checks fail."""
+        exchange = connection.handler
+        assert isinstance(exchange, UpstreamExchange)
+        self._pending = None
+        self._connection = connection
+        self._exchange = exchange
+        self._idle_s = _NEW_CONNECTION
+        self._was_abandoned = False
+        self._head_before = head_before_timeout(self._outbound, exchange.host)
+        self._head_after = head_after_timeout(self._outbound)
+        services = self._services
+        try:
+            is_sent = exchange.send(self, self._outbound.request_stream)
+        except LocalError as error:
+            services.counters.add("writes_not_begun")
+            self._return_unused(connection)
+            self._retry_later(error)
+            return
+        if is_sent:
+            services.counters.add("attempts_sent")
+            self._pending = connection
+            return
+        self._return_unused(connection)
+        self._end_unsent()
+
+    def _return_unused(self, connection: UpstreamConnection) -> None:
+        services = self._services
+        services.connections.release(connection, not services.has_moved(connection))
+
+    def _end_unsent(self) -> None:
+        """End an attempt that failed the last checks.
+
+        If its client has disconnected, the request has ended, and with it an attempt that was never written.
+        """
+        is_retry = self._backoff is not None
+        if not self._was_abandoned or (is_retry and self._services.policy.is_open(self.attempt.request)):
+            self.end_soon(AttemptOutcome.NOT_SENT)
+        else:
+            self._services.owner.on_attempt_dropped(self)
+
+    def _retry_later(self, error: LocalError) -> None:
+        """Start over after a delay, while there is time to wait for a connection."""
+        if self._backoff is None:
+            self._backoff = Backoff(Random())
+        delay_s = self._backoff.next_delay_s()
+        if time.monotonic() + delay_s >= self._send_until:
+            self._services.counters.log(f"attempt not sent: {error}", "warning")
+            self.end_soon(AttemptOutcome.NOT_SENT)
+            return
+        self._pending = asyncio.get_running_loop().call_later(delay_s, self._retry)
+
+    def _retry(self) -> None:
+        self.connect(time.monotonic())
+
+    def _end(self, response: UpstreamResponse) -> None:
+        self._pending = None
+        self._services.owner.on_attempt_ended(self, response)
--- a/indigokeel/net/upstream/backoff.py
+++ b/indigokeel/net/upstream/backoff.py
@@ -1,10 +1,7 @@
-"""How long to wait before a call is made again that this machine could not make. No I/O; the clock is passed
-in.
+"""Backoff for system calls that fail for want of a local resource. No I/O; the clock is passed in.
 
-The causes are short (ports and descriptors come free, memory is given back), and requests are in a hurry: the
-first delay is a few milliseconds, and the longest still lets one more call be made in the least time that a
-request waits for a connection. Each is drawn with jitter, so that many processes of one machine do not ask
-for what is scarce at the same moments.
+Such shortages (ports, descriptors, memory) are brief and requests are in a hurry, so delays are a few
+milliseconds. Jitter keeps the processes of one machine from retrying together.
 """
 
 from __future__ import annotations
@@ -12,82 +9,92 @@
 import math
 from random import Random
 
-FIRST, LONGEST = 0.002, 0.016  # s; a delay is drawn from half of this to all of it, doubled each time
+_INITIAL_DELAY_S = 0.002  # a delay is between half of this and all of it, doubled with each failure
+_MAX_DELAY_S = 0.016
+_RETENTION_S = 30.0  # after its end, until a suspension is dropped
 
 
 class Backoff:
-    """The delays between calls that fail one after another."""
+    """The delays between consecutive failures of one call."""
 
-    __slots__ = ("_random", "_span")
+    __slots__ = ("_ceiling_s", "_random")
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._span = FIRST
+        self._ceiling_s = _INITIAL_DELAY_S
 
-    def next(self) -> float:
-        """The delay after one more failure, in seconds."""
-        delay = self._random.uniform(self._span / 2.0, self._span)
-        self._span = min(self._span * 2.0, LONGEST)
-        return delay
+    def next_delay_s(self) -> float:
+        """Return the delay after one more failure, in seconds."""
+        delay_s = self._random.uniform(self._ceiling_s / 2.0, self._ceiling_s)
+        self._ceiling_s = min(self._ceiling_s * 2.0, _MAX_DELAY_S)
+        return delay_s
 
     def reset(self) -> None:
-        """A call was made: the next failure is a first one."""
-        self._span = FIRST
+        """Start over after a call that succeeded."""
+        self._ceiling_s = _INITIAL_DELAY_S
 
 
-class _Hold:
-    __slots__ = ("active", "backoff", "until")
+class _Suspension:
+    """Connects that are suspended, to one upstream or to all."""
+
+    __slots__ = ("backoff", "is_active", "until")
 
     def __init__(self, random: Random) -> None:
         self.backoff = Backoff(random)
-        self.active = False
-        self.until = -math.inf  # when it was over, or is to be
+        self.is_active = False
+        self.until = -math.inf
 
 
 class ConnectBackoff:
-    """The upstreams to which this machine begins no connect for the moment, because it could not begin the
-    last one; or all of them, where what it lacks is needed for any."""
+    """Suspends connects after a local failure: to one upstream, or to all where any connect would fail."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._all = _Hold(random)
-        self._of: dict[str, _Hold] = {}
-
-    def start(self, now: float, upstream: str | None) -> float:
-        """A connect to ``upstream`` (None: to any) could not begin: how long until the next may, in
-        seconds."""
-        hold = self._all if upstream is None else self._of.setdefault(upstream, _Hold(self._random))
-        delay = hold.backoff.next()
-        hold.active, hold.until = True, now + delay
-        return delay
-
-    def release(self, now: float, upstream: str | None) -> None:
-        """That time is over."""
-        hold = self._all if upstream is None else self._of.get(upstream)
-        if hold is not None:
-            hold.active, hold.until = False, max(now, hold.until)
-
-    def begun(self, upstream: str) -> None:
-        """A connect has begun: nothing is lacking now."""
+        self._all = _Suspension(random)
+        self._by_upstream: dict[str, _Suspension] = {}
+
+    def suspend(self, now: float, upstream: str | None) -> float:
+        """Suspend connects to ``upstream`` (None: to all). Return the delay until the next, in seconds."""
+        suspension = self._all
+        if upstream is not None:
+            suspension = self._by_upstream.setdefault(upstream, _Suspension(self._random))
+        delay_s = suspension.backoff.next_delay_s()
+        suspension.is_active = True
+        suspension.until = now + delay_s
+        return delay_s
+
+    def resume(self, now: float, upstream: str | None) -> None:
+        """End a suspension."""
+        suspension = self._all if upstream is None else self._by_upstream.get(upstream)
+        if suspension is not None:
+            suspension.is_active = False
+            suspension.until = max(now, suspension.until)
+
+    def on_connect_started(self, upstream: str) -> None:
+        """Reset the delays: a connect could start."""
         self._all.backoff.reset()
-        hold = self._of.get(upstream)
-        if hold is not None:
-            hold.backoff.reset()
-
-    def active(self, upstream: str) -> bool:
-        """Whether no connect to ``upstream`` may begin now."""
-        hold = self._of.get(upstream)
-        return self._all.active or (hold is not None and hold.active)
-
-    def any_since(self, upstream: str, since: float) -> bool:
-        """Whether who waits for ``upstream`` since then was kept waiting by this machine, some of the
-        time."""
-        if self.active(upstream) or self._all.until >= since:
+        suspension = self._by_upstream.get(upstream)
+        if suspension is not None:
+            suspension.backoff.reset()
+
+    def is_active(self, upstream: str) -> bool:
+        """Return whether connects to an upstream are suspended."""
+        suspension = self._by_upstream.get(upstream)
+        return self._all.is_active or (suspension is not None and suspension.is_active)
+
+    def was_active_since(self, upstream: str, since: float) -> bool:
+        """Return whether connects to an upstream were suspended at any time since ``since``."""
+        if self.is_active(upstream) or self._all.until >= since:
             return True
-        hold = self._of.get(upstream)
-        return hold is not None and hold.until >= since
-
-    def forget(self, before: float) -> None:
-        """Drop what was over before this time."""
-        for upstream in [n for n, hold in self._of.items() if not hold.active and hold.until < before]:
-            del self._of[upstream]
+        suspension = self._by_upstream.get(upstream)
+        return suspension is not None and suspension.until >= since
+
+    def drop_expired(self, now: float) -> None:
+        """Drop the suspensions that ended long ago."""
+        expired = [
+            upstream
+            for upstream, suspension in self._by_upstream.items()
+            if not suspension.is_active and suspension.until < now - _RETENTION_S
+        ]
+        for upstream in expired:
+            del self._by_upstream[upstream]
--- a/indigokeel/net/upstream/circuit_breaker.py
+++ b/indigokeel/net/upstream/circuit_breaker.py
@@ -1,51 +1,106 @@
-"""A circuit for the connects to one upstream: after some that fail in a row none is made for a while.
+"""Circuit breakers for connects: after consecutive failures, connects to an address stop for a while.
 
-Closed, open, half-open, as in Nygard, "Release It!"; the time out is drawn with full jitter (Brooker,
-"Exponential Backoff And Jitter"), so that many sidecars do not all try an upstream again at once.
+Closed, open and half-open as in Nygard, "Release It!". The open time has full jitter (Brooker, "Exponential
+Backoff And Jitter"), so that many sidecars do not retry an upstream at the same moment.
 """
 
 from __future__ import annotations
 
 from random import Random
 
-FAILURES = 4  # connects that fail in a row open the circuit
-FIRST, LONGEST = 0.2, 2.0  # s; the time out is drawn from 0 to this, doubled with each failed trial
+FAILURE_THRESHOLD = 4  # consecutive failed connects that open the circuit
+_INITIAL_OPEN_S = 0.2  # the open time is uniform between 0 and this, doubled with each failed trial
+_MAX_OPEN_S = 2.0
+_RETENTION_S = 30.0  # after the open time, until a breaker without further connects is dropped
+
+Address = tuple[str, int]
 
 
 class CircuitBreaker:
-    """The connects to one address. The clock is passed in; nothing is done here."""
+    """The circuit of one address. Times are seconds of the caller's clock."""
 
-    __slots__ = ("_failures", "_random", "_span", "_trial", "open_until")
+    __slots__ = ("_failures", "_open_time_s", "_random", "_trial_running", "open_until")
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._failures = 0
-        self._span = FIRST
-        self._trial = False  # one is out to see whether the upstream is back
+        self._open_time_s = _INITIAL_OPEN_S
+        self._trial_running = False
         self.open_until = 0.0
 
     def allows(self, now: float) -> bool:
-        """Whether a connect may begin. Half open, it is one at a time."""
-        return self._failures < FAILURES or (now >= self.open_until and not self._trial)
+        """Return whether a connect may start; while half-open, one at a time."""
+        if self._failures < FAILURE_THRESHOLD:
+            return True
+        return now >= self.open_until and not self._trial_running
 
-    def began(self) -> None:
-        """A connect begins."""
-        self._trial = self._failures >= FAILURES
+    def on_connect_started(self) -> None:
+        """Record the start of a connect."""
+        self._trial_running = self._failures >= FAILURE_THRESHOLD
 
-    def came_up(self) -> None:
-        """A connect has succeeded: all is well."""
-        self._failures, self._span, self._trial = 0, FIRST, False
+    def on_connected(self) -> None:
+        """Record a successful connect and close the circuit."""
+        self._failures = 0
+        self._open_time_s = _INITIAL_OPEN_S
+        self._trial_running = False
 
-    def called_off(self) -> None:
-        """A connect was given up before it told anything."""
-        self._trial = False
+    def on_connect_cancelled(self) -> None:
+        """Record a connect that was cancelled without a result."""
+        self._trial_running = False
 
-    def failed(self, now: float) -> bool:
-        """A connect has failed; True where that opens the circuit."""
+    def on_connect_failed(self, now: float) -> bool:
+        """Record a failed connect. Return whether it opens a closed circuit."""
         self._failures += 1
-        self._trial = False
-        if self._failures < FAILURES:
+        self._trial_running = False
+        if self._failures < FAILURE_THRESHOLD:
             return False
-        self.open_until = now + self._random.uniform(0.0, self._span)
-        self._span = min(self._span * 2.0, LONGEST)
-        return self._failures == FAILURES
+        self.open_until = now + self._random.uniform(0.0, self._open_time_s)
+        self._open_time_s = min(self._open_time_s * 2.0, _MAX_OPEN_S)
+        return self._failures == FAILURE_THRESHOLD
+
+
+class CircuitBreakers:
+    """The circuit breakers of all upstreams, by name and address. Only addresses that failed have one."""
+
+    def __init__(self, random: Random) -> None:
+        self._random = random
+        self._breakers: dict[tuple[str, Address], CircuitBreaker] = {}
+
+    def has_failures(self, upstream: str, address: Address) -> bool:
+        """Return whether connects to an address have failed since its last success."""
+        return (upstream, address) in self._breakers
+
+    def allows(self, upstream: str, address: Address, now: float) -> bool:
+        """Return whether a connect may start."""
+        breaker = self._breakers.get((upstream, address))
+        return breaker is None or breaker.allows(now)
+
+    def on_connect_started(self, upstream: str, address: Address) -> None:
+        """Record the start of a connect."""
+        breaker = self._breakers.get((upstream, address))
+        if breaker is not None:
+            breaker.on_connect_started()
+
+    def on_connected(self, upstream: str, address: Address) -> None:
+        """Record a successful connect."""
+        self._breakers.pop((upstream, address), None)
+
+    def on_connect_cancelled(self, upstream: str, address: Address) -> None:
+        """Record a connect that was cancelled without a result."""
+        breaker = self._breakers.get((upstream, address))
+        if breaker is not None:
+            breaker.on_connect_cancelled()
+
+    def on_connect_failed(self, upstream: str, address: Address, now: float) -> bool:
+        """Record a failed connect. Return whether it opens a closed circuit."""
+        key = upstream, address
+        breaker = self._breakers.get(key)
+        if breaker is None:
+            breaker = self._breakers[key] = CircuitBreaker(self._random)
+        return breaker.on_connect_failed(now)
+
+    def drop_expired(self, now: float) -> None:
+        """Drop the breakers whose open time ended long ago."""
+        expired = [key for key, breaker in self._breakers.items() if now > breaker.open_until + _RETENTION_S]
+        for key in expired:
+            del self._breakers[key]
--- a/indigokeel/net/upstream/connection_table.py
+++ b/indigokeel/net/upstream/connection_table.py
@@ -1,7 +1,7 @@
-"""The books of connections: which there are, in which state, and whether one more may be opened. No I/O.
+"""The connections to all upstreams by state, and the limits on their number. No I/O.
 
-A connection is counted by its presence here and by nothing else: no number is kept beside the books, so
-none can come to differ from them.
+The table is the only count of connections: every figure is derived from its entries, so none can diverge from
+them.
 """
 
 from __future__ import annotations
@@ -12,11 +12,15 @@
 from enum import Enum
 from typing import Generic, Protocol, TypeVar
 
+_UPSTREAM_LIMIT_FLOOR = 8  # connections to one upstream, where the total allows it
+_OPENING_LIMIT_FLOOR = 2
+_OPENING_LIMIT_CEILING = 32
+
 
 class ConnectionState(Enum):
-    """The life of a connection. DRAINING: in use, and to be closed once it is not."""
+    """The state of a connection. DRAINING: in use, and closed once its last call has ended."""
 
-    __hash__ = object.__hash__  # Enum's own is not C, and every exchange looks states up
+    __hash__ = object.__hash__  # faster than Enum's own, and every exchange looks states up
 
     OPENING = "opening"
     IDLE = "idle"
@@ -25,7 +29,7 @@
     CLOSED = "closed"
 
 
-_NEXT = {
+_TRANSITIONS = {
     ConnectionState.OPENING: {ConnectionState.IDLE, ConnectionState.IN_USE, ConnectionState.CLOSED},
     ConnectionState.IDLE: {ConnectionState.IN_USE, ConnectionState.CLOSED},
     ConnectionState.IN_USE: {ConnectionState.IDLE, ConnectionState.DRAINING, ConnectionState.CLOSED},
@@ -36,8 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """How many connections there may be: in all, to one upstream while others hold some too, and being opened
-    to one upstream at a time."""
+    """The most connections in total, to one upstream while others have some, and opening to one upstream."""
 
     total: int
     upstream: int
@@ -45,24 +48,24 @@
 
     @classmethod
     def of(cls, total: int) -> ConnectionLimits:
-        """The usual parts of a total. One upstream that hangs must not hold all: half is left to the
-        others."""
-        return cls(total, max(total // 2, min(total, 8)), max(min(total // 4, 32), 2))
+        """Return the default limits for a total: one upstream that hangs leaves half of it to the others."""
+        upstream = max(total // 2, min(total, _UPSTREAM_LIMIT_FLOOR))
+        opening = max(min(total // 4, _OPENING_LIMIT_CEILING), _OPENING_LIMIT_FLOOR)
+        return cls(total, upstream, opening)
 
 
-class Entry(Protocol):
-    """What the books hold."""
+class TableEntry(Protocol):
+    """A connection as the table sees it. ``state`` is changed by the table alone."""
 
     upstream: str
     state: ConnectionState
 
 
-E = TypeVar("E", bound=Entry)
+EntryT = TypeVar("EntryT", bound=TableEntry)
 
 
-class _Node(dict[ConnectionState, dict[E, None]], Generic[E]):
-    """The connections to one upstream, by state, each in the order of its coming; the idle one used last at
-    the end."""
+class _UpstreamEntries(dict[ConnectionState, dict[EntryT, None]], Generic[EntryT]):
+    """The connections to one upstream by state, each in order of entry into it."""
 
     def __init__(self) -> None:
         super().__init__({state: {} for state in ConnectionState if state is not ConnectionState.CLOSED})
@@ -71,89 +74,94 @@
         return sum(map(len, self.values()))
 
 
-class ConnectionTable(Generic[E]):
+class ConnectionTable(Generic[EntryT]):
     """All connections that are not closed."""
 
-    def __init__(self, bounds: ConnectionLimits) -> None:
-        self.bounds = bounds
-        self._all: dict[E, None] = {}
-        self._nodes: dict[str, _Node[E]] = {}
-        self._idle: OrderedDict[E, None] = OrderedDict()  # over all upstreams, idle for longest first
+    def __init__(self, limits: ConnectionLimits) -> None:
+        self.limits = limits
+        self._all: dict[EntryT, None] = {}
+        self._by_upstream: dict[str, _UpstreamEntries[EntryT]] = {}
+        self._idle: OrderedDict[EntryT, None] = OrderedDict()  # to any upstream, longest idle first
 
     def __len__(self) -> int:
         return len(self._all)
 
-    def __iter__(self) -> Iterator[E]:
+    def __iter__(self) -> Iterator[EntryT]:
         return iter(self._all)
 
     def count(self, upstream: str, state: ConnectionState) -> int:
-        """How many connections to an upstream are in a state."""
-        shelves = self._nodes.get(upstream)
-        return 0 if shelves is None else len(shelves[state])
+        """Return the number of connections to an upstream in a state."""
+        entries = self._by_upstream.get(upstream)
+        return 0 if entries is None else len(entries[state])
+
+    def connections(self, upstream: str, state: ConnectionState) -> list[EntryT]:
+        """Return the connections to an upstream in a state, in order of entry into it."""
+        entries = self._by_upstream.get(upstream)
+        return [] if entries is None else list(entries[state])
 
-    def move(self, entry: E, state: ConnectionState) -> None:
-        """Enter a connection that is OPENING, or take a known one to its next state."""
+    def move(self, entry: EntryT, state: ConnectionState) -> None:
+        """Add a new connection in OPENING, or move one to its next state.
+
+        Raises ValueError on a transition that is not allowed.
+        """
         if entry not in self._all:
-            if state is not ConnectionState.OPENING or entry.state is not ConnectionState.OPENING:
-                raise ValueError(f"a connection that is not in the books cannot be {state.value}")
-            self._all[entry] = None
-            self._nodes.setdefault(entry.upstream, _Node())[ConnectionState.OPENING][entry] = None
+            self._add(entry, state)
             return
-        if state not in _NEXT[entry.state]:
+        if state not in _TRANSITIONS[entry.state]:
             raise ValueError(f"a connection cannot go from {entry.state.value} to {state.value}")
-        shelves = self._nodes[entry.upstream]
-        del shelves[entry.state][entry]
+        entries = self._by_upstream[entry.upstream]
+        del entries[entry.state][entry]
         if entry.state is ConnectionState.IDLE:
             del self._idle[entry]
         entry.state = state
-        if state is not ConnectionState.CLOSED:
-            shelves[state][entry] = None
-            if state is ConnectionState.IDLE:
-                self._idle[entry] = None
+        if state is ConnectionState.CLOSED:
+            self._remove(entry, entries)
             return
-        del self._all[entry]
-        if not any(shelves.values()):  # names come and go for ever; only those in use are kept
-            del self._nodes[entry.upstream]
+        entries[state][entry] = None
+        if state is ConnectionState.IDLE:
+            self._idle[entry] = None
 
     def idle(self) -> int:
-        """How many connections are idle."""
+        """Return the number of idle connections."""
         return len(self._idle)
 
-    def youngest_idle(self, upstream: str) -> E | None:
-        """The idle connection to an upstream that was used last."""
-        shelves = self._nodes.get(upstream)
-        return next(reversed(shelves[ConnectionState.IDLE]), None) if shelves is not None else None
+    def most_recently_used(self, upstream: str) -> EntryT | None:
+        """Return the idle connection to an upstream that was used last."""
+        entries = self._by_upstream.get(upstream)
+        return None if entries is None else next(reversed(entries[ConnectionState.IDLE]), None)
 
-    def oldest_idle(self) -> E | None:
-        """The connection to any upstream that has stood idle for longest."""
+    def longest_idle(self) -> EntryT | None:
+        """Return the connection to any upstream that has been idle for longest."""
         return next(iter(self._idle), None)
 
-    def oldest_opening(self, upstream: str) -> E | None:
-        shelves = self._nodes.get(upstream)
-        return next(iter(shelves[ConnectionState.OPENING]), None) if shelves is not None else None
+    def oldest_opening(self, upstream: str) -> EntryT | None:
+        """Return the connection to an upstream whose connect started first."""
+        entries = self._by_upstream.get(upstream)
+        return None if entries is None else next(iter(entries[ConnectionState.OPENING]), None)
 
-    def idle_to(self, upstream: str) -> list[E]:
-        shelves = self._nodes.get(upstream)
-        return list(shelves[ConnectionState.IDLE]) if shelves is not None else []
-
-    def opening_to(self, upstream: str) -> list[E]:
-        shelves = self._nodes.get(upstream)
-        return list(shelves[ConnectionState.OPENING]) if shelves is not None else []
-
-    def used_to(self, upstream: str) -> list[E]:
-        shelves = self._nodes.get(upstream)
-        return list(shelves[ConnectionState.IN_USE]) if shelves is not None else []
-
-    def room(self, upstream: str) -> bool:
-        """Whether the bounds of this upstream let one more be opened to it."""
-        shelves = self._nodes.get(upstream)
-        if shelves is None:
+    def may_open(self, upstream: str) -> bool:
+        """Return whether the limits of an upstream allow one more connection to it."""
+        entries = self._by_upstream.get(upstream)
+        if entries is None:
             return True
-        total = shelves.total()
-        alone = total == len(self._all)  # nobody else wants what is left
-        most = self.bounds.total if alone else self.bounds.upstream
-        return total < most and len(shelves[ConnectionState.OPENING]) < self.bounds.opening
-
-    def full(self) -> bool:
-        """Whether the bound on all connections is reached."""
-        return len(self._all) >= self.bounds.total
+        total = entries.total()
+        is_only_upstream = total == len(self._all)
+        limit = self.limits.total if is_only_upstream else self.limits.upstream
+        return total < limit and len(entries[ConnectionState.OPENING]) < self.limits.opening
+
+    def is_full(self) -> bool:
+        """Return whether the limit on all connections is reached."""
+        return len(self._all) >= self.limits.total
+
+    def _add(self, entry: EntryT, state: ConnectionState) -> None:
+        if state is not ConnectionState.OPENING or entry.state is not ConnectionState.OPENING:
+            raise ValueError(f"a connection that is not in the table cannot be {state.value}")
+        self._all[entry] = None
+        self._by_upstream.setdefault(entry.upstream, _UpstreamEntries())[ConnectionState.OPENING][entry] = (
+            None
+        )
+
+    def _remove(self, entry: EntryT, entries: _UpstreamEntries[EntryT]) -> None:
+        del self._all[entry]
+        if not any(entries.values()):  # names come and go without end; only those in use are kept
+            del self._by_upstream[entry.upstream]
--- /dev/null
+++ b/indigokeel/net/upstream/connector.py
@@ -0,0 +1,176 @@
+"""Opens connections within the limits, the circuit breakers and the backoff of this machine."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import math
+from collections.abc import Callable
+from random import Random
+
+from indigokeel.net.errors import LocalError
+from indigokeel.net.upstream.backoff import ConnectBackoff
+from indigokeel.net.upstream.circuit_breaker import Address, CircuitBreakers
+from indigokeel.net.upstream.connection import ConnectionOwner, UpstreamConnection
+from indigokeel.net.upstream.connection_table import ConnectionState, ConnectionTable
+from indigokeel.net.upstream.telemetry import Telemetry
+
+_LOCAL_ERROR_LOG_INTERVAL_S = 1.0  # local errors may occur hundreds of times a second
+
+
+class Connector:
+    """Starts connects and keeps track of their results."""
+
+    def __init__(
+        self,
+        table: ConnectionTable[UpstreamConnection],
+        owner: ConnectionOwner,
+        telemetry: Telemetry,
+        random: Random,
+        connect_timeout_s: float,
+        on_resume: Callable[[str | None], None],
+    ) -> None:
+        """``on_resume`` is called when connects to an upstream (None: to all) may start again."""
+        self.connect_timeout_s = connect_timeout_s
+        self._table = table
+        self._owner = owner
+        self._telemetry = telemetry
+        self._on_resume = on_resume
+        self._breakers = CircuitBreakers(random)
+        self._backoff = ConnectBackoff(random)
+        self._started_at: dict[UpstreamConnection, float] = {}  # of the connections that are opening
+        self._local_error_logged_at = -math.inf
+
+    def may_connect(self, upstream: str, address: Address) -> bool:
+        """Return whether the circuit breaker allows a connect."""
+        return self._breakers.allows(upstream, address, self._telemetry.clock())
+
+    def has_failures(self, upstream: str, address: Address) -> bool:
+        """Return whether connects to an address have failed since its last success."""
+        return self._breakers.has_failures(upstream, address)
+
+    def is_suspended(self, upstream: str) -> bool:
+        """Return whether a local error keeps connects to an upstream from being started."""
+        return self._backoff.is_active(upstream)
+
+    def was_suspended_since(self, upstream: str, since: float) -> bool:
+        """Return whether connects to an upstream were suspended at any time since ``since``."""
+        return self._backoff.was_active_since(upstream, since)
+
+    def open(self, upstream: str, address: Address) -> bool:
+        """Start a connect. Return False if there is no capacity for it or it fails at once."""
+        if self._table.is_full() and not self.shed_idle():
+            return False
+        connection = self._connect(upstream, address)
+        if connection is None:
+            return False
+        self._table.move(connection, ConnectionState.OPENING)
+        self._started_at[connection] = self._telemetry.clock()
+        self._backoff.on_connect_started(upstream)
+        self._breakers.on_connect_started(upstream, address)
+        return True
+
+    def shed_idle(self) -> bool:
+        """Close the connection that has been idle for longest. Return False if none is idle."""
+        if not self._close_longest_idle():
+            return False
+        self._telemetry.count("idle_shed")
+        return True
+
+    def remove(self, connection: UpstreamConnection) -> None:
+        """Remove a connection from the table."""
+        self._started_at.pop(connection, None)
+        self._table.move(connection, ConnectionState.CLOSED)
+
+    def on_connected(self, connection: UpstreamConnection) -> None:
+        """Record a successful connect."""
+        self._started_at.pop(connection, None)
+        self._breakers.on_connected(connection.upstream, connection.address)
+
+    def on_connect_failed(self, upstream: str, address: Address) -> None:
+        """Record a connect that failed on the side of the upstream."""
+        self._telemetry.count("connects_failed")
+        if self._breakers.on_connect_failed(upstream, address, self._telemetry.clock()):
+            self._telemetry.count("circuit_breakers_opened")
+            self._telemetry.log(
+                "warning",
+                f"circuit breaker of {upstream} ({_host(address)}) opened: consecutive connects failed",
+            )
+
+    def on_local_error(self, connection: UpstreamConnection, error: LocalError) -> None:
+        """Record a started connect that failed on this machine."""
+        self._breakers.on_connect_cancelled(connection.upstream, connection.address)
+        self._suspend(connection.upstream, connection.address, error)
+
+    def on_surplus(self, connection: UpstreamConnection, waiting_since: float | None) -> None:
+        """Record a connect that is about to be cancelled because a waiter has left.
+
+        ``waiting_since`` is when the waiter came, if it ran out of time; a connect that had all of this time
+        counts as failed.
+        """
+        started_at = self._started_at.get(connection)
+        if waiting_since is not None and (started_at is None or started_at <= waiting_since):
+            self.on_connect_failed(connection.upstream, connection.address)
+        else:
+            self._breakers.on_connect_cancelled(connection.upstream, connection.address)
+
+    def drop_expired(self, now: float) -> None:
+        """Drop the state of upstreams that had no failures for long."""
+        self._breakers.drop_expired(now)
+        self._backoff.drop_expired(now)
+
+    def _connect(self, upstream: str, address: Address) -> UpstreamConnection | None:
+        """Start a connect, if need be with the descriptor of an idle connection."""
+        try:
+            try:
+                return self._start(upstream, address)
+            except LocalError as error:
+                if not error.exhausted or self._table.longest_idle() is None:
+                    raise
+                self._report_local_error(upstream, address, error, "closing an idle connection")
+                self._close_longest_idle()
+                return self._start(upstream, address)
+        except LocalError as error:
+            self._suspend(upstream, address, error)
+        except OSError:
+            self.on_connect_failed(upstream, address)
+        return None
+
+    def _start(self, upstream: str, address: Address) -> UpstreamConnection:
+        connection = UpstreamConnection(asyncio.get_running_loop(), self._owner, upstream, address)
+        connection.open(self.connect_timeout_s)
+        return connection
+
+    def _close_longest_idle(self) -> bool:
+        oldest = self._table.longest_idle()
+        if oldest is None:
+            return False
+        self.remove(oldest)
+        oldest.close()
+        return True
+
+    def _suspend(self, upstream: str, address: Address, error: LocalError) -> None:
+        """Suspend connects after a local error: to all upstreams, if none could be reached."""
+        scope = None if error.exhausted else upstream
+        delay_s = self._backoff.suspend(self._telemetry.clock(), scope)
+        self._report_local_error(upstream, address, error, f"retrying in {1000.0 * delay_s:.0f} ms")
+        asyncio.get_running_loop().call_later(delay_s, self._resume, scope)
+
+    def _resume(self, scope: str | None) -> None:
+        self._backoff.resume(self._telemetry.clock(), scope)
+        self._on_resume(scope)
+
+    def _report_local_error(self, upstream: str, address: Address, error: LocalError, action: str) -> None:
+        self._telemetry.count("descriptors_exhausted" if error.exhausted else "connects_failed_locally")
+        now = self._telemetry.clock()
+        if now - self._local_error_logged_at < _LOCAL_ERROR_LOG_INTERVAL_S:
+            return
+        self._local_error_logged_at = now
+        reason = errno.errorcode.get(error.errno or 0, str(error))
+        self._telemetry.log(
+            "error", f"connect to {upstream} ({_host(address)}) failed locally: {reason}; {action}"
+        )
+
+
+def _host(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/indigokeel/net/upstream/descriptor_audit.py
+++ b/indigokeel/net/upstream/descriptor_audit.py
@@ -1,4 +1,4 @@
-"""The audit: whether the books of connections agree with the descriptors that the process really holds."""
+"""Compares the connection table with the descriptors that the process holds, and repairs differences."""
 
 from __future__ import annotations
 
@@ -9,25 +9,44 @@
 import stat
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
+from enum import Enum
 
 from indigokeel.net.upstream.connection import UpstreamConnection
 
-_FD = "/proc/self/fd"
-_STRAY, _SEEN = 8.0, 3  # s, and audits, for which a socket stands in no book before it is a stray
-_MOST = 65536  # descriptors looked at where they cannot be listed
+_DESCRIPTOR_DIRECTORY = "/proc/self/fd"
+_LEAK_AGE_S = 8.0  # and _LEAK_SIGHTINGS: a busy event loop may hold an accepted socket for a while
+_LEAK_SIGHTINGS = 3
+_MAX_DESCRIPTORS = 65536  # checked one by one where the system does not list them
+_LAST_STANDARD_DESCRIPTOR = 2
+
+
+class MismatchKind(Enum):
+    """How the table and the process differ."""
+
+    MISSING = "missing"  # in the table, but not open
+    LEAKED = "leaked"  # open, but with no owner
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorMismatch:
-    """One difference. ``phantom``: in the books and not held; ``stray``: held and in no book."""
+    """One difference between the owned and the open descriptors."""
 
-    kind: str
+    kind: MismatchKind
     fd: int
     text: str
 
 
+@dataclass(slots=True)
+class _Suspect:
+    """An open socket without an owner."""
+
+    inode: int
+    first_seen: float
+    sightings: int = 0
+
+
 def _inode(fd: int) -> int | None:
-    """The inode of the socket that a descriptor is; None where it is none, or is not held."""
+    """Return the inode of an open socket, or None if the descriptor is none."""
     with contextlib.suppress(OSError, OverflowError):
         status = os.fstat(fd)
         if stat.S_ISSOCK(status.st_mode):
@@ -36,77 +55,92 @@
 
 
 def sockets() -> dict[int, int]:
-    """The sockets that the process is seen to hold: inode by descriptor. Where a system does not list them
-    all, some are missing."""
-    found: dict[int, int] = {}
+    """Return the inodes of the open sockets by descriptor; some systems list only a part of them."""
     try:
-        numbers = [int(name) for name in os.listdir(_FD)]
-    except OSError:  # no descriptor left to list them with, which is when it matters most
-        numbers = list(range(min(resource.getrlimit(resource.RLIMIT_NOFILE)[0], _MOST)))
-    for fd in numbers:
-        inode = _inode(fd)
-        if inode is not None:  # else not held, as the listing's own is not by now
-            found[fd] = inode
-    return found
+        descriptors = [int(name) for name in os.listdir(_DESCRIPTOR_DIRECTORY)]
+    except OSError:  # listing takes a descriptor, and there may be none left
+        limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        descriptors = list(range(min(limit, _MAX_DESCRIPTORS)))
+    inodes = ((fd, _inode(fd)) for fd in descriptors)
+    return {fd: inode for fd, inode in inodes if inode is not None}
 
 
 class DescriptorLeakDetector:
-    """Compares, repairs and tells.
+    """Finds table entries without a descriptor and sockets without an owner.
 
-    A phantom is struck from the books and its owner closes what it has. A stray is told only when it was
-    seen at every audit of some seconds, three at the least, for a connection that the event loop has accepted
-    and not yet handed over is in no book, and a loop that is behind may take long over it; it is then shut
-    down, which its owner, if it has one, takes for its end."""
+    A connection whose descriptor is missing is discarded. A socket without an owner is shut down, which an
+    owner that exists after all takes for the end of its connection.
+    """
 
     def __init__(
         self,
         connections: Callable[[], Iterable[UpstreamConnection]],
-        strike: Callable[[UpstreamConnection], None],
-        others: Callable[[], Mapping[int, str]],
+        discard: Callable[[UpstreamConnection], None],
+        other_descriptors: Callable[[], Mapping[int, str]],
         count: Callable[[str], None],
         log: Callable[[str, str], None],
         clock: Callable[[], float],
     ) -> None:
-        """``others`` names the descriptors that are somebody else's and known: clients, the listener."""
-        self._links, self._discard, self._others = connections, strike, others
-        self._count, self._log, self._clock = count, log, clock
-        self._suspects: dict[int, tuple[int, float, int]] = {}  # inode, since when, and at how many audits
-        self._own = sockets()  # the event loop's own, from before any connection
+        """Take the sockets that are open now for the event loop's own.
+
+        ``other_descriptors`` returns those of the listener and the clients; ``log`` takes a level and a text.
+        """
+        self._connections = connections
+        self._discard = discard
+        self._other_descriptors = other_descriptors
+        self._count = count
+        self._log = log
+        self._clock = clock
+        self._suspects: dict[int, _Suspect] = {}
+        self._own = sockets()
 
     def look(self) -> list[DescriptorMismatch]:
-        """Compare the books with reality once; says what it found and has repaired."""
-        held = sockets()
-        found: list[DescriptorMismatch] = []
-        known = set(self._others())
-        for connection in list(self._links()):
-            # Asked of the descriptor itself. Guards against a listing that leaves sockets out: every good
-            # connection was a phantom to it, and the repair lost its descriptor for good.
+        """Compare once. Return the differences that were found and repaired."""
+        open_sockets = sockets()
+        owned = set(self._other_descriptors())
+        mismatches = [*self._find_missing(owned), *self._find_leaked(open_sockets, owned)]
+        self._count("audits")
+        for mismatch in mismatches:
+            kind = mismatch.kind.value
+            self._count(f"descriptor_audit_{kind}")
+            self._log("error", f"descriptor audit: {kind}: {mismatch.fd}: {mismatch.text}; repaired")
+        return mismatches
+
+    def _find_missing(self, owned: set[int]) -> list[DescriptorMismatch]:
+        """Discard the connections without a descriptor, and add those of the others to ``owned``."""
+        missing = []
+        for connection in list(self._connections()):
+            # Asked of the descriptor itself, as a listing may be incomplete.
             if connection.fd >= 0 and _inode(connection.fd) == connection.inode:
-                known.add(connection.fd)
+                owned.add(connection.fd)
                 continue
-            found.append(
-                DescriptorMismatch(
-                    "phantom", connection.fd, f"{connection.state.value} to {connection.upstream}"
-                )
-            )
+            text = f"connection to {connection.upstream}, {connection.state.value}"
+            missing.append(DescriptorMismatch(MismatchKind.MISSING, connection.fd, text))
             self._discard(connection)
-        now, suspects = self._clock(), dict[int, tuple[int, float, int]]()
-        for fd, inode in held.items():
-            if fd in known or self._own.get(fd) == inode or fd <= 2:
+        return missing
+
+    def _find_leaked(self, open_sockets: dict[int, int], owned: set[int]) -> list[DescriptorMismatch]:
+        """Shut down the sockets that have had no owner for several audits."""
+        now = self._clock()
+        suspects: dict[int, _Suspect] = {}
+        leaked = []
+        for fd, inode in open_sockets.items():
+            if fd in owned or self._own.get(fd) == inode or fd <= _LAST_STANDARD_DESCRIPTOR:
                 continue
-            before, since, seen = self._suspects.get(fd, (inode, now, 0))
-            if before != inode:
-                since, seen = now, 0
-            suspects[fd] = inode, since, seen + 1
-            if seen + 1 >= _SEEN and now - since >= _STRAY:
-                found.append(DescriptorMismatch("stray", fd, f"socket {inode}"))
-                with contextlib.suppress(OSError), socket.socket(fileno=os.dup(fd)) as double:
-                    # A listener may be shared with other processes: it is told of and left alone.
-                    if not double.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                        double.shutdown(socket.SHUT_RDWR)
+            suspect = self._suspects.get(fd)
+            if suspect is None or suspect.inode != inode:
+                suspect = _Suspect(inode, now)
+            suspect.sightings += 1
+            suspects[fd] = suspect
+            if suspect.sightings >= _LEAK_SIGHTINGS and now - suspect.first_seen >= _LEAK_AGE_S:
+                leaked.append(DescriptorMismatch(MismatchKind.LEAKED, fd, f"socket {inode}"))
+                _shut_down(fd)
         self._suspects = suspects
-        self._count("audits")
-        for finding in found:
-            self._count(f"audit_{finding.kind}s")
-            self._log("error", f"audit: {finding.kind} descriptor {finding.fd}: {finding.text}; repaired")
-        return found
+        return leaked
+
+
+def _shut_down(fd: int) -> None:
+    """Shut a socket down, unless it listens: other processes may share a listener."""
+    with contextlib.suppress(OSError), socket.socket(fileno=os.dup(fd)) as duplicate:
+        if not duplicate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            duplicate.shutdown(socket.SHUT_RDWR)
--- /dev/null
+++ b/indigokeel/net/upstream/socket_reader.py
@@ -0,0 +1,131 @@
+"""Reads from a non-blocking socket as the event loop reports it readable."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import socket
+from random import Random
+from typing import Protocol
+
+from indigokeel.net.errors import Meaning, Step, meaning
+from indigokeel.net.upstream.backoff import Backoff
+
+_READ_BYTES = 64 * 1024  # at most, in one call
+
+
+class ReadEvents(Protocol):
+    """The receiver of what is read."""
+
+    def on_data(self, data: bytes) -> None:
+        """Handle received bytes."""
+
+    def on_read_end(self, at_eof: bool) -> None:
+        """Handle the end of the stream, or an error of the connection."""
+
+    def expects_data(self) -> bool:
+        """Return whether a response is awaited."""
+
+
+class SocketReader:
+    """Reads from one socket, can be paused, and retries reads that fail on this machine."""
+
+    __slots__ = ("_backoff", "_events", "_loop", "_poll", "_retry_timer", "_sock", "_watching")
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, events: ReadEvents) -> None:
+        self._loop = loop
+        self._events = events
+        self._sock: socket.socket | None = None
+        self._poll: select.poll | None = None
+        self._watching = False
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._backoff: Backoff | None = None
+
+    def start(self, sock: socket.socket) -> None:
+        """Start reading; raises OSError if the event loop cannot watch the socket."""
+        self._loop.add_reader(sock.fileno(), self._on_readable)
+        self._sock = sock
+        self._watching = True
+
+    def pause(self) -> None:
+        """Stop reading, so that the peer has to wait once the buffers of the system are full."""
+        self._cancel_retry()
+        if self._watching and self._sock is not None:
+            self._loop.remove_reader(self._sock.fileno())
+            self._watching = False
+
+    def resume(self) -> None:
+        """Read again after a pause."""
+        self._cancel_retry()
+        if self._sock is not None and not self._watching:
+            self._loop.add_reader(self._sock.fileno(), self._on_readable)
+            self._watching = True
+
+    def is_quiet(self) -> bool:
+        """Return whether the socket has neither data nor an end nor an error, asked of the system."""
+        return self._sock is not None and not self._poll_events()
+
+    def close(self) -> None:
+        """Stop reading for good; the socket stays open."""
+        self.pause()
+        self._sock = None
+        self._poll = None
+
+    def detach(self) -> None:
+        """Stop reading from a descriptor that may belong to something else by now."""
+        if self._watching and self._sock is not None:
+            self._watching = False
+            self._loop.remove_reader(self._sock.fileno())
+
+    def _on_readable(self) -> None:
+        self._receive()
+        # uvloop reports data and a reset that follows it as one event, so the error is polled for while a
+        # response is awaited. An idle connection is checked before its next use.
+        while self._watching and self._events.expects_data() and self._has_error():
+            self._receive()
+
+    def _receive(self) -> None:
+        sock = self._sock
+        if sock is None:
+            return
+        try:
+            data = sock.recv(_READ_BYTES)
+        except OSError as error:
+            self._on_error(error)
+            return
+        self._backoff = None
+        if data:
+            self._events.on_data(data)
+        else:
+            self._events.on_read_end(at_eof=True)
+
+    def _on_error(self, error: OSError) -> None:
+        match meaning(error.errno, Step.READ):
+            case Meaning.LOCAL:
+                self.pause()
+                if self._backoff is None:
+                    self._backoff = Backoff(Random())
+                self._retry_timer = self._loop.call_later(self._backoff.next_delay_s(), self.resume)
+            case Meaning.UPSTREAM:
+                self._events.on_read_end(at_eof=False)
+
+    def _has_error(self) -> bool:
+        """Return whether the system reports an error behind the data that can still be read."""
+        return any(events & select.POLLERR for _, events in self._poll_events())
+
+    def _poll_events(self) -> list[tuple[int, int]]:
+        """Return what the system reports on the socket, or nothing where it cannot."""
+        if self._poll is None:
+            if self._sock is None:
+                return []
+            self._poll = select.poll()
+            self._poll.register(self._sock.fileno(), select.POLLIN)
+        try:
+            return self._poll.poll(0)
+        except OSError:
+            return []
+
+    def _cancel_retry(self) -> None:
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
--- /dev/null
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -0,0 +1,152 @@
+"""Writes to a non-blocking socket and keeps the bytes that the system has not taken yet."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Sequence
+from random import Random
+from typing import Protocol
+
+from indigokeel.net.errors import LocalError, Meaning, Step, meaning
+from indigokeel.net.upstream.backoff import Backoff
+
+_MAX_CHUNKS = 64  # written in one call; a system takes 1,024 at most (IOV_MAX)
+_CLOSED = -1
+
+Chunks = Sequence[bytes | memoryview]
+
+
+class WriteEvents(Protocol):
+    """The receiver of what happens to unsent bytes later."""
+
+    def on_all_written(self) -> None:
+        """Handle that the system has taken the last of the unsent bytes."""
+
+    def on_write_error(self, error: LocalError | None) -> None:
+        """Handle a write that failed for good: on this machine, or (None) by the connection."""
+
+
+class SocketWriter:
+    """Writes to one socket, in order, and retries writes that fail on this machine."""
+
+    __slots__ = (
+        "_backoff", "_events", "_fd", "_loop", "_retry_timer", "_stall_timeout_s", "_stalled_s", "_unsent",
+        "_watching",
+    )  # fmt: skip
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, events: WriteEvents) -> None:
+        self._loop = loop
+        self._events = events
+        self._fd = _CLOSED
+        self._unsent: list[bytes | memoryview] = []
+        self._watching = False
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._backoff: Backoff | None = None
+        self._stalled_s = 0.0  # total delay of retries since the last byte was written
+        self._stall_timeout_s = 0.0
+
+    def start(self, fd: int, stall_timeout_s: float) -> None:
+        """Allow writes; local failures are retried for ``stall_timeout_s`` seconds."""
+        self._fd = fd
+        self._stall_timeout_s = stall_timeout_s
+
+    @property
+    def has_unsent(self) -> bool:
+        """Whether bytes wait for the system to take them."""
+        return bool(self._unsent)
+
+    def write(self, chunks: Chunks, is_first: bool = False) -> bool:
+        """Write, now or as soon as the system takes more.
+
+        Return False if the connection is broken, so that not all was written. ``is_first`` marks the start of
+        a message: if this machine cannot write it, LocalError is raised and none of it is written.
+        """
+        if self._fd == _CLOSED:
+            return False
+        if self._unsent:
+            self._unsent += chunks
+            return True
+        written, result = self._write_once(chunks)
+        if result is Meaning.UPSTREAM:
+            return False
+        if result is Meaning.LOCAL and is_first:
+            raise LocalError("this machine cannot write now")
+        if written < sum(map(len, chunks)):
+            self._unsent = _remaining(chunks, written)
+            self._schedule(result)
+        return True
+
+    def close(self) -> None:
+        """Drop the unsent bytes and stop writing for good; the socket stays open."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._retry_timer = None
+        self._unwatch()
+        self._fd = _CLOSED
+        self._unsent = []
+
+    def detach(self) -> None:
+        """Stop writing to a descriptor that may belong to something else by now."""
+        if self._watching:
+            self._watching = False
+            self._loop.remove_writer(self._fd)
+
+    def _write_once(self, chunks: Chunks) -> tuple[int, Meaning]:
+        """Return the number of bytes written, and what an error means."""
+        try:
+            return os.writev(self._fd, chunks[:_MAX_CHUNKS]), Meaning.GOES_ON
+        except OSError as error:
+            return 0, meaning(error.errno, Step.WRITE)
+
+    def _schedule(self, result: Meaning) -> None:
+        """Continue when the system takes more, or after a delay if this machine could not write."""
+        if result is not Meaning.LOCAL:
+            if not self._watching:
+                self._loop.add_writer(self._fd, self._on_writable)
+                self._watching = True
+            return
+        self._unwatch()
+        if self._backoff is None:
+            self._backoff = Backoff(Random())
+        delay_s = self._backoff.next_delay_s()
+        self._stalled_s += delay_s
+        self._retry_timer = self._loop.call_later(delay_s, self._on_writable)
+
+    def _on_writable(self) -> None:
+        self._retry_timer = None
+        if self._fd == _CLOSED:
+            return
+        written, result = self._write_once(self._unsent)
+        if result is Meaning.UPSTREAM:
+            self._events.on_write_error(None)
+            return
+        if result is Meaning.LOCAL and self._stalled_s >= self._stall_timeout_s:
+            self._events.on_write_error(LocalError("this machine cannot write"))
+            return
+        if written:
+            self._stalled_s = 0.0
+            self._backoff = None
+        self._unsent = _remaining(self._unsent, written)
+        if self._unsent:
+            self._schedule(result)
+            return
+        self._unwatch()
+        self._events.on_all_written()
+
+    def _unwatch(self) -> None:
+        if self._watching:
+            self._loop.remove_writer(self._fd)
+            self._watching = False
+
+
+def _remaining(chunks: Chunks, written: int) -> list[bytes | memoryview]:
+    """Return what is left of some chunks after a number of bytes."""
+    remaining: list[bytes | memoryview] = []
+    for chunk in chunks:
+        if written >= len(chunk):
+            written -= len(chunk)
+        else:
+            remaining.append(memoryview(chunk)[written:])
+            written = 0
+    return remaining
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -327,7 +327,7 @@
     def has_disconnected(self) -> bool:
         return self.gone
 
-    def clear(self) -> bool:
+    def is_writable(self) -> bool:
         return not self.full
 
     def write(self, pieces: list[bytes]) -> None:
@@ -351,9 +351,9 @@
     assert source.paused
     sink.full = False
     request_stream.flush()
-    assert not source.paused and not request_stream.passed
+    assert not source.paused and not request_stream.is_fully_written
     request_stream.end()
-    assert request_stream.passed and sink.written.endswith(b"y\r\n0\r\n\r\n")
+    assert request_stream.is_fully_written and sink.written.endswith(b"y\r\n0\r\n\r\n")
 
 
 def test_upload_that_nobody_wants_is_thrown_away() -> None:
@@ -361,10 +361,10 @@
     request_stream = RequestStream(source, 1 << 20, [])
     request_stream.add(b"x" * 70_000)
     assert source.paused
-    request_stream.drop()
+    request_stream.discard()
     assert not source.paused
     request_stream.add(b"x" * 70_000)
-    assert not source.paused and request_stream.all() == []
+    assert not source.paused and request_stream.buffered() == []
 
 
 @pytest.mark.parametrize("length", [4, -1])
@@ -377,7 +377,9 @@
     request_stream.add(b"d")
     request_stream.end()
     written = sink.written[len(before) :]
-    assert not request_stream.passed and written == (b"c" if length > 0 else b"1\r\nc\r\n1\r\nd\r\n")
+    assert not request_stream.is_fully_written and written == (
+        b"c" if length > 0 else b"1\r\nc\r\n1\r\nd\r\n"
+    )
 
 
 def test_stream_leaves_its_source_reading_once_it_is_over() -> None:
@@ -385,10 +387,10 @@
     stream = ResponseStream(source, 5)
     stream.attach(reader)
     stream.feed([b"he", b"llo"])
-    stream.wait()
+    stream.pause()
     assert source.paused
     stream.end(True)
-    stream.wait()
+    stream.pause()
     assert not source.paused and (reader.written, reader.ended) == (b"hello", "whole")
 
 
@@ -399,7 +401,7 @@
     exchange = ResponseParser()
     for at in range(0, len(raw), size):
         exchange.feed(raw[at : at + size])
-    assert exchange.complete and exchange.clean
+    assert exchange.complete and exchange.is_reusable
     reply = exchange.response()
     assert b"".join(reply.body or []) == LONG[:3000] and reply.load == {"utilisation": 0.5}
 
@@ -410,4 +412,4 @@
         exchange.feed(b"HTTP/1.1 200 OK\r\nServer-Load: util=1\r\n\r\nbody")
     exchange = ResponseParser()
     exchange.feed(b"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nbody")
-    assert not exchange.complete and exchange.ends_here() and not exchange.clean
+    assert not exchange.complete and exchange.feed_eof() and not exchange.is_reusable
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -22,15 +22,19 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from indigokeel.net.upstream import (
+    CloseReason,
     ConnectFailure,
     ConnectionLimits,
     ConnectionPool,
     ConnectionState,
     ConnectionWaiter,
     DescriptorLeakDetector,
+    MismatchKind,
+    PoolOptions,
+    Telemetry,
     UpstreamConnection,
 )
-from indigokeel.net.upstream.circuit_breaker import FAILURES, CircuitBreaker
+from indigokeel.net.upstream.circuit_breaker import FAILURE_THRESHOLD, CircuitBreaker
 from indigokeel.net.upstream.connection_table import ConnectionTable
 from indigokeel.net.upstream.descriptor_audit import sockets
 from indigokeel.net.upstream.idle_resets import IdleResetEstimator
@@ -44,14 +48,14 @@
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection, self.heard_all, self.ended, self.faulty = connection, b"", 0, False
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         if self.faulty:
             raise RuntimeError("a fault in what is said")
         self.heard_all += data
 
-    def drained(self) -> None: ...
+    def on_writable(self) -> None: ...
 
-    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
+    def on_closed(self, reason: CloseReason) -> None:
         self.ended += 1
 
 
@@ -84,12 +88,12 @@
         self.connections = ConnectionPool(
             bounds or ConnectionLimits(6, 4, 2),
             Echo,
-            lambda what: self.counts.update([what]),
-            lambda level, text: self.logged.append((level, text)),
-            lambda: self.now,
-            1,
-            timeout,
-            calls=calls,
+            Telemetry(
+                lambda what: self.counts.update([what]),
+                lambda level, text: self.logged.append((level, text)),
+                lambda: self.now,
+            ),
+            PoolOptions(seed=1, connect_timeout_s=timeout, max_calls=calls),
         )
         self.audit = DescriptorLeakDetector(
             lambda: self.connections.table,
@@ -326,12 +330,12 @@
 
 
 def test_connects_that_fail_open_the_circuit_and_one_trial_closes_it(world: World) -> None:
-    for _ in range(FAILURES + 3):
+    for _ in range(FAILURE_THRESHOLD + 3):
         world.borrow("refuses")
         world.until(lambda: not world.connections.waiting())
         world.step(2)
-    assert world.counts["connects_failed"] == FAILURES and world.counts["connects_not_tried"] >= 1
-    assert any("one after another" in text for _, text in world.logged)
+    assert world.counts["connects_failed"] == FAILURE_THRESHOLD and world.counts["connects_not_tried"] >= 1
+    assert any("consecutive connects failed" in text for _, text in world.logged)
     world.now += 5.0  # the time out is over, and the upstream is back
     server = socket.create_server(world.addresses["refuses"])
     world.ready.clear()
@@ -349,7 +353,7 @@
 
 
 def test_silent_node_costs_each_claim_its_patience_and_then_nothing(world: World) -> None:
-    for _ in range(FAILURES):
+    for _ in range(FAILURE_THRESHOLD):
         world.borrow("silent", 0.002)
         world.now += 0.01
         world.until(lambda: not world.connections.waiting())
@@ -363,7 +367,7 @@
     connection = world.connection()
     world.accept()
     exchange = connection.handler
-    assert isinstance(exchange, Echo) and connection.say([b"a job"])
+    assert isinstance(exchange, Echo) and connection.write([b"a job"])
     world.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
     world.accepted.pop().close()
     world.until(lambda: exchange.ended == 1)
@@ -376,8 +380,8 @@
     world.accept()
     told: list[bool] = []
     assert isinstance(connection.handler, Echo)
-    connection.handler.lost = lambda unsent, ended, local: told.append(unsent)  # type: ignore[method-assign]
-    assert connection.say([b"x" * 60_000] * 400) and connection.spent()
+    connection.handler.on_closed = lambda reason: told.append(reason.has_unsent_data)  # type: ignore[method-assign]
+    assert connection.write([b"x" * 60_000] * 400) and connection.has_unsent_data()
     world.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
     world.accepted.pop().close()
     world.until(lambda: bool(told))
@@ -388,7 +392,7 @@
     connection = world.connection()
     world.accept()
     pieces = [bytes([i % 251]) * 30_000 for i in range(200)]
-    assert connection.say(pieces[:150]) and connection.say(pieces[150:])
+    assert connection.write(pieces[:150]) and connection.write(pieces[150:])
     got = bytearray()
     peer = world.accepted[0]
     peer.setblocking(False)
@@ -396,7 +400,7 @@
         world.step()
         with contextlib.suppress(BlockingIOError):
             got += peer.recv(1 << 20)
-    assert got == b"".join(pieces) and not connection.spent()
+    assert got == b"".join(pieces) and not connection.has_unsent_data()
 
 
 def test_descriptors_that_run_out_within_an_open(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -415,7 +419,7 @@
 
     monkeypatch.setattr("indigokeel.net.upstream.connection.socket.socket", scarce)
     world.borrow("refuses")
-    assert idle.state is ConnectionState.CLOSED and world.counts["descriptors_run_out"] == 1
+    assert idle.state is ConnectionState.CLOSED and world.counts["descriptors_exhausted"] == 1
     left[0] = -9
     world.ready.clear()
     world.borrow("up")
@@ -490,16 +494,16 @@
     stray = socket.create_connection(world.addresses["up"])
     world.accept()
     found = world.run(world.audit.look)
-    assert isinstance(found, list) and [f.kind for f in found] == ["phantom"]
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
     assert exchange.ended == 1 and len(world.connections.table) == 0
     for _ in range(5):  # as often as one likes: one that the loop has yet to hand over looks the same
         assert world.run(world.audit.look) == []
     world.now += 8.0
     found = world.run(world.audit.look)
-    assert isinstance(found, list) and [f.kind for f in found] == ["stray"]
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.LEAKED]
     assert stray.recv(1) == b""  # shut down: its owner sees its end
     assert [level for level, _ in world.logged] == ["error", "error"]
-    assert (world.counts["audit_phantoms"], world.counts["audit_strays"]) == (1, 1)
+    assert (world.counts["descriptor_audit_missing"], world.counts["descriptor_audit_leaked"]) == (1, 1)
     stray.close()
     assert world.run(world.audit.look) == []
 
@@ -508,14 +512,16 @@
     world: World, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     connections = [world.connection() for _ in range(3)]
-    monkeypatch.setattr("indigokeel.net.upstream.descriptor_audit._FD", str(tmp_path))  # a listing of nothing
+    monkeypatch.setattr(
+        "indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path)
+    )  # a listing of nothing
     assert world.run(world.audit.look) == []
     assert [connection.state for connection in connections] == [ConnectionState.IN_USE] * 3 and len(
         world.connections.table
     ) == 3
     os.close(connections[1].fd)  # and what is gone is still found
     found = world.run(world.audit.look)
-    assert isinstance(found, list) and [f.kind for f in found] == ["phantom"]
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
 
 
 def test_new_node_is_warmed_once(world: World) -> None:
@@ -533,7 +539,7 @@
 
     table: ConnectionTable[Entry] = ConnectionTable(ConnectionLimits.of(10))
     entry = Entry()
-    with pytest.raises(ValueError, match="not in the books"):
+    with pytest.raises(ValueError, match="not in the table"):
         table.move(entry, ConnectionState.IDLE)
     table.move(entry, ConnectionState.OPENING)
     with pytest.raises(ValueError, match="cannot go from opening to draining"):
@@ -544,20 +550,20 @@
 
 def test_circuit_waits_longer_with_jitter_and_tries_one_at_a_time() -> None:
     breaker, now, waits = CircuitBreaker(Random(3)), 0.0, []
-    for _ in range(FAILURES):
+    for _ in range(FAILURE_THRESHOLD):
         assert breaker.allows(now)
-        breaker.began()
-        breaker.failed(now)
+        breaker.on_connect_started()
+        breaker.on_connect_failed(now)
     for _ in range(12):
         assert not breaker.allows(now) or breaker.open_until <= now
         waits.append(breaker.open_until - now)
         now = breaker.open_until
         assert breaker.allows(now)
-        breaker.began()
+        breaker.on_connect_started()
         assert not breaker.allows(now + 9.0)  # its trial is out
-        breaker.failed(now)
+        breaker.on_connect_failed(now)
     assert max(waits) <= 2.0 and max(waits[:2]) <= 0.4 and len(set(waits)) == len(waits)
-    breaker.came_up()
+    breaker.on_connected()
     assert breaker.allows(now)
 
 
@@ -567,10 +573,10 @@
     every break from which the age's risk was learnt."""
     idle_resets = IdleResetEstimator()
     for step in range(100):
-        idle_resets.add(0.0, -1.0, False)
-        idle_resets.add(0.0, 0.3, step % 25 == 0)
-    assert idle_resets.too_old(0.0, 0.3, unsafe) is old
-    assert not idle_resets.too_old(0.0, 0.03, unsafe=False)
+        idle_resets.record(0.0, -1.0, False)
+        idle_resets.record(0.0, 0.3, step % 25 == 0)
+    assert idle_resets.is_risky(0.0, 0.3, unsafe) is old
+    assert not idle_resets.is_risky(0.0, 0.03, unsafe=False)
 
 
 def test_connect_that_came_up_while_the_loop_was_late_is_no_failure(world: World) -> None:
@@ -592,7 +598,7 @@
             world.run(world.audit.look)
         world.now += 8.0
         found = world.run(world.audit.look)
-        assert isinstance(found, list) and [f.kind for f in found] == ["stray"]
+        assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.LEAKED]
         with socket.create_connection(listener.getsockname(), timeout=5.0):
             listener.accept()[0].close()
 
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -170,12 +170,12 @@
     peer.setblocking(False)
     pieces = [bytes([i % 251]) * 301 for i in range(5000)]  # more than a system takes in one call
     monkeypatch.setattr("os.writev", faulty(os.writev, number, 5))
-    assert connection.say(pieces)
+    assert connection.write(pieces)
     while len(got) < 301 * 5000:
         world.step()
         with contextlib.suppress(BlockingIOError):
             got += peer.recv(1 << 20)
-    assert got == b"".join(pieces) and not connection.spent()
+    assert got == b"".join(pieces) and not connection.has_unsent_data()
     monkeypatch.setattr(socket.socket, "recv", faulty(socket.socket.recv, number, 5))
     peer.send(b"heard")
     world.until(lambda: echo.heard_all == b"heard")
@@ -261,7 +261,7 @@
             break_open("connect", errno.EADDRNOTAVAIL, times, monkeypatch)
         else:
             monkeypatch.setattr("os.writev", faulty(os.writev, errno.ENOBUFS, times))
-        assert (await pool.probe("s-0"))[0] is outcome
+        assert (await pool.check_health("s-0"))[0] is outcome
         assert not counters["connects_failed"]
 
     play(1, work)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -42,10 +42,10 @@
         0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", upstream.port)))
     )
     pool = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 8)
-    assert asyncio.run(pool.probe("s-0")) == found
+    assert asyncio.run(pool.check_health("s-0")) == found
     assert upstream.got[0].line == "GET /_load HTTP/1.1"
     upstream.close()
-    assert asyncio.run(pool.probe("s-1")) == (AttemptOutcome.NOT_SENT, None)
+    assert asyncio.run(pool.check_health("s-1")) == (AttemptOutcome.NOT_SENT, None)
 
 
 async def rested(pool: UpstreamClient) -> None:
@@ -71,7 +71,7 @@
         pool = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
         loop, ended = asyncio.get_running_loop(), []
         for number in range(5):
-            assert (await pool.probe("s-0"))[0] is AttemptOutcome.OK
+            assert (await pool.check_health("s-0"))[0] is AttemptOutcome.OK
             await rested(pool)
             now = time.monotonic()
             attempt = coordinator.pick(now, Request(f"j{number}", "view", 60.0)).attempts[0]
@@ -100,7 +100,7 @@
     )
     counters = Counters("t")
     pool = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
-    assert asyncio.run(pool.probe("s-0")) == (AttemptOutcome.OK, None)
+    assert asyncio.run(pool.check_health("s-0")) == (AttemptOutcome.OK, None)
     assert counters["upstream_health_checks_without_report"] == counters["upstream_health_check_ok"] == 1
     upstream.close()
 
@@ -110,12 +110,12 @@
     idle_resets = IdleResetEstimator()
     for step in range(300):
         now = step * 0.01
-        idle_resets.add(now, -1.0, step % 20 == 0)
-        idle_resets.add(now, 0.03, step % 20 == 0)
-        idle_resets.add(now, 0.25, step % 3 == 0)
-    assert [idle_resets.too_old(3.0, age) for age in (0.0, 0.03, 0.25, 9.0)] == [False, False, True, True]
+        idle_resets.record(now, -1.0, step % 20 == 0)
+        idle_resets.record(now, 0.03, step % 20 == 0)
+        idle_resets.record(now, 0.25, step % 3 == 0)
+    assert [idle_resets.is_risky(3.0, age) for age in (0.0, 0.03, 0.25, 9.0)] == [False, False, True, True]
     # It is tried again once what was seen is old.
-    assert not idle_resets.too_old(300.0, 9.0)
+    assert not idle_resets.is_risky(300.0, 9.0)
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
     """The next attempt starts in the moment of the answer before, and the upstream writes once more on that
     connection before it answers anything else: what it writes belongs to nobody. The rest is made longer
     than all that together takes on a machine that is busy."""
-    monkeypatch.setattr("indigokeel.net.upstream.client._REST", 2.0)
+    monkeypatch.setattr("indigokeel.net.upstream.delayed_release.QUIET_PERIOD_S", 2.0)
 
     async def play() -> tuple[list[UpstreamResponse], Counters, int]:
         loop = asyncio.get_running_loop()
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -18,8 +18,8 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.net.streams import RequestStream
+from indigokeel.net.upstream import attempt_sender, response_parser, upstream_exchange
 from indigokeel.net.upstream import client as upstream_client
-from indigokeel.net.upstream import response_parser
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Attempt, Request
 from tests import peers
@@ -105,7 +105,7 @@
         task = OutboundRequest(b"POST", b"/view/k", b"1", None, [], True, left=self.left)
         if kind == "upload":
             task.request_stream = RequestStream(source, 4, [b"body"])
-            task.request_stream.whole = True
+            task.request_stream.is_complete = True
         carrier.send_attempt(attempt, task, lambda _, reply: self.ended(reply))
         for _ in range(400):
             await asyncio.sleep(0.001)
@@ -131,7 +131,7 @@
 @pytest.fixture
 def process(monkeypatch: pytest.MonkeyPatch) -> Iterator[Process]:
     upstream = peers.Peer(peers.echo)
-    made, send = Process(upstream.port), upstream_client.UpstreamClient._send
+    made, send = Process(upstream.port), attempt_sender.AttemptSender._send
 
     def sending(*args: Any) -> None:
         made.sending = True
@@ -139,9 +139,10 @@
         send(*args)
         made.sending = False
 
-    monkeypatch.setattr(upstream_client.UpstreamClient, "_send", sending)
+    monkeypatch.setattr(attempt_sender.AttemptSender, "_send", sending)
+    monkeypatch.setattr(attempt_sender, "time", made)
     monkeypatch.setattr(upstream_client, "time", made)
-    monkeypatch.setattr(upstream_client, "ResponseParser", made.make_exchange)
+    monkeypatch.setattr(upstream_exchange, "ResponseParser", made.make_exchange)
     monkeypatch.setattr("os.writev", made.writev)
     yield made
     upstream.close()
