--- /dev/null
+++ b/tests/test_descriptor_audit.py
@@ -0,0 +1,73 @@
+"""The descriptor audit on real sockets."""
+
+from __future__ import annotations
+
+import os
+import socket
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from indigokeel.net.upstream import (
+    ConnectionState,
+    MismatchKind,
+)
+from tests.pool_harness import PoolHarness, RecordingHandler
+
+
+@pytest.fixture
+def harness() -> Iterator[PoolHarness]:
+    """Return a pool harness that is checked and closed after the test."""
+    made = PoolHarness()
+    yield made
+    made.end()
+
+
+def test_missing_and_leaked_descriptors_are_found_and_repaired(harness: PoolHarness) -> None:
+    connection = harness.connection()
+    assert isinstance(connection.handler, RecordingHandler)
+    exchange = connection.handler
+    os.close(connection.fd)  # behind its owner's back
+    stray = socket.create_connection(harness.addresses["up"])
+    harness.accept()
+    found = harness.run(harness.audit.look)
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
+    assert exchange.closed_calls == 1 and len(harness.pool.table) == 0
+    for _ in range(5):  # as often as one likes: one that the loop has yet to hand over looks the same
+        assert harness.run(harness.audit.look) == []
+    harness.now += 8.0
+    found = harness.run(harness.audit.look)
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.LEAKED]
+    assert stray.recv(1) == b""  # shut down: its owner sees its end
+    assert [level for level, _ in harness.logged] == ["error", "error"]
+    assert (harness.counts["descriptor_audit_missing"], harness.counts["descriptor_audit_leaked"]) == (1, 1)
+    stray.close()
+    assert harness.run(harness.audit.look) == []
+
+
+def test_connection_that_the_listing_omits_is_not_missing(
+    harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    connections = [harness.connection() for _ in range(3)]
+    monkeypatch.setattr(
+        "indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path)
+    )  # a listing of nothing
+    assert harness.run(harness.audit.look) == []
+    assert [connection.state for connection in connections] == [ConnectionState.IN_USE] * 3 and len(
+        harness.pool.table
+    ) == 3
+    os.close(connections[1].fd)  # and what is gone is still found
+    found = harness.run(harness.audit.look)
+    assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
+
+
+def test_listener_that_other_processes_may_share_is_not_shut_down(harness: PoolHarness) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        for _ in range(5):
+            harness.run(harness.audit.look)
+        harness.now += 8.0
+        found = harness.run(harness.audit.look)
+        assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.LEAKED]
+        with socket.create_connection(listener.getsockname(), timeout=5.0):
+            listener.accept()[0].close()
--- /dev/null
+++ b/tests/unit/net/upstream/test_response_parser.py
@@ -0,0 +1,33 @@
+"""Parsing of responses in parts, and their end."""
+
+from __future__ import annotations
+
+import os
+
+import pytest
+
+from indigokeel.net import http
+from indigokeel.net.upstream.response_parser import InvalidResponseError, ResponseParser
+
+BODY = os.urandom(3000)
+
+
+@pytest.mark.parametrize("size", [1, 3, 7, 100, 5000])
+def test_chunked_response_in_parts_of_any_size_leaves_its_connection_reusable(size: int) -> None:
+    raw = b"HTTP/1.1 200 OK \r\nServer-Load:  util=0.5 \r\nTransfer-Encoding: \t chunked \r\n\r\n"
+    raw += b"".join(http.chunk([BODY], False)) + b"0\r\n\r\n"
+    parser = ResponseParser()
+    for at in range(0, len(raw), size):
+        parser.feed(raw[at : at + size])
+    assert parser.complete and parser.is_reusable
+    reply = parser.response()
+    assert b"".join(reply.body or []) == BODY and reply.load == {"utilisation": 0.5}
+
+
+def test_response_without_a_length_has_to_announce_the_close() -> None:
+    parser = ResponseParser()
+    with pytest.raises(InvalidResponseError):
+        parser.feed(b"HTTP/1.1 200 OK\r\nServer-Load: util=1\r\n\r\nbody")
+    parser = ResponseParser()
+    parser.feed(b"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nbody")
+    assert not parser.complete and parser.feed_eof() and not parser.is_reusable
