--- a/indigokeel/net/errors.py
+++ b/indigokeel/net/errors.py
@@ -1,8 +1,8 @@
-"""What the errors of system calls on sockets mean: the one table, by step and errno. No I/O.
+"""The meaning of errors of system calls on sockets, by step and errno. No I/O.
 
-A call fails for three kinds of reasons. It has not failed at all and goes on (EINTR, EAGAIN, EINPROGRESS).
-This machine lacks something, a descriptor, memory, a port, a route: that says nothing of the upstream, and
-an attempt that meets it has not begun. Or the upstream, or the network on the way to it, has failed.
+Some are no failures, as the call is in progress or has to be repeated (EINTR, EAGAIN, EINPROGRESS). Some are
+local: this machine lacks a descriptor, memory, a port or a route, which says nothing about the upstream, and
+an attempt that meets one has not been sent. The others are failures of the upstream or of the network to it.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
 
 class Step(Enum):
-    """Where in the life of a connection a call was made."""
+    """The step in the life of a connection at which a call was made."""
 
     __hash__ = object.__hash__
 
-    PREPARE = "prepare"  # socket, setsockopt, fstat, getsockopt, and the event loop's watch
+    PREPARE = "prepare"  # socket, setsockopt, fstat, getsockopt, registration with the event loop
     CONNECT = "connect"  # the call itself
-    CONNECTING = "connecting"  # the error that a connect under way ended with (SO_ERROR)
+    CONNECTING = "connecting"  # the error that a connect in progress ended with (SO_ERROR)
     WRITE = "write"
     READ = "read"
     ACCEPT = "accept"  # of a client's connection
 
 
 class Meaning(Enum):
-    """What an error says."""
+    """What an error means for the connection."""
 
     __hash__ = object.__hash__
 
-    GOES_ON = "goes on"  # no failure: the call is made again, or ends by itself
-    LOCAL = "local"  # of this machine: nothing was begun, and nothing is learned of the upstream
-    UPSTREAM = "upstream"  # of the upstream, or of the way to it
+    GOES_ON = "goes on"  # no failure: the call is repeated, or completes by itself
+    LOCAL = "local"  # a failure of this machine
+    UPSTREAM = "upstream"  # a failure of the upstream, or of the network to it
 
 
-# What every process, or the whole machine, has run out of; no other upstream would be reached either.
+# Resources of the process or the machine that a connection to any upstream needs.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
-# What connect(2) itself may say before anything has left the machine: no port (EAGAIN on some systems), no
-# route, an interface that is down, a local firewall's rule, a family that is not supported.
-_NOT_BEGUN = EXHAUSTED | {
+# Errors of connect(2) before anything has left the machine: no port (EAGAIN on some systems), no route, an
+# interface that is down, a local firewall rule, an unsupported address family.
+_CONNECT_LOCAL = EXHAUSTED | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
     errno.EAGAIN,
@@ -52,9 +52,9 @@
     errno.EAFNOSUPPORT,
 }
 
-# What accept(2) says of one connection, which is off the backlog after it: the connection is gone, a firewall
-# forbids it, or, on Linux, an error of the network was pending on the new socket.
-_OF_ONE_CONNECTION = {
+# Errors of accept(2) that concern one connection, which has left the backlog: it is closed, a firewall
+# forbids it, or, on Linux, a network error was pending on the new socket.
+_ACCEPT_OF_ONE_CONNECTION = {
     errno.ECONNABORTED,
     errno.ECONNRESET,
     errno.EHOSTDOWN,
@@ -74,20 +74,19 @@
 
 _GOES_ON = {
     Step.PREPARE: frozenset({errno.EINTR}),
-    # A connect that a signal interrupts goes on, and its end is told as that of any other (POSIX, connect).
+    # A connect that a signal interrupts continues asynchronously (POSIX, connect).
     Step.CONNECT: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EISCONN}),
     Step.CONNECTING: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EAGAIN}),
     Step.WRITE: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
     Step.READ: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
-    Step.ACCEPT: frozenset(_OF_ONE_CONNECTION),
+    Step.ACCEPT: frozenset(_ACCEPT_OF_ONE_CONNECTION),
 }
 
-# EHOSTUNREACH and ENETUNREACH are ambiguous. From the call they say that this machine has no route. Once the
-# connect is under way there was a route: then they tell of an ARP that nobody answered or of an ICMP message,
-# which is the network's word on the upstream. EADDRNOTAVAIL cannot come from a peer at any time. On an open
-# connection EHOSTUNREACH, ENETUNREACH and ETIMEDOUT are breaks like ECONNRESET.
+# EHOSTUNREACH and ENETUNREACH from the call itself mean that this machine has no route. Once the connect is
+# in progress they report an unanswered ARP request or an ICMP message, so the upstream is not reachable; on
+# an open connection they are failures of it, like ETIMEDOUT and ECONNRESET. EADDRNOTAVAIL is always local.
 _LOCAL = {
-    Step.CONNECT: _NOT_BEGUN,
+    Step.CONNECT: _CONNECT_LOCAL,
     Step.CONNECTING: EXHAUSTED | {errno.EADDRNOTAVAIL},
     Step.WRITE: EXHAUSTED,
     Step.READ: EXHAUSTED,
@@ -95,26 +94,28 @@
 
 
 def meaning(number: int | None, step: Step) -> Meaning:
-    """What an errno says that a call at this step has failed with; None for a time that is over."""
+    """Return the meaning of an errno at a step; None stands for a timeout."""
     if number in _GOES_ON[step]:
         return Meaning.GOES_ON
-    # Whatever else goes wrong before a connect or at an accept is local: nobody else was asked.
+    # All other errors before a connect or at an accept are local, as no peer is involved.
     if step in (Step.PREPARE, Step.ACCEPT) or number in _LOCAL[step]:
         return Meaning.LOCAL
     return Meaning.UPSTREAM
 
 
 class LocalError(OSError):
-    """This machine could not make a call. It says nothing of the upstream for which the call was made."""
+    """A call that this machine could not make, which says nothing about the upstream."""
 
     @property
     def exhausted(self) -> bool:
-        """Whether no other upstream could be reached either."""
+        """Whether the missing resource is needed for a connection to any upstream."""
         return self.errno in EXHAUSTED
 
 
 def typed(number: int | None, step: Step) -> OSError:
-    """The error to raise or to tell on for an errno, by what it means. A call that has to be made again
-    (EINTR) was not made, which is nobody else's failure."""
+    """Return the exception for an errno: OSError for a failure of the upstream, else LocalError.
+
+    A call that has to be repeated (EINTR) was not made, which counts as local.
+    """
     kind = OSError if meaning(number, step) is Meaning.UPSTREAM else LocalError
     return kind(number, os.strerror(number or 0))
--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1: bounds, heads to write, load reports, and what both sides ask of a socket.
+"""HTTP/1.1 for both sides: limits, response heads, load reports, and queries of a socket.
 
-The messages themselves are read by httptools (llhttp), which is strict: it takes no message with two
-lengths, none with a length that is no number, and none whose head holds what no head may.
+Messages are parsed by httptools (llhttp) in its strict mode, which rejects messages with two lengths, with a
+length that is not a number, or with invalid characters in the head.
 """
 
 from __future__ import annotations
@@ -20,33 +20,32 @@
 from indigokeel.config import LOAD_FIELDS
 
 MAX_HEAD = 16 * 1024  # bytes of a message's head
-MAX_BODY = 64 * 1024  # bytes of a body that is read whole; a longer one passes in pieces
-MOST_BODY = 40 << 20  # bytes of a request's body: operators announce 32 MB
+MAX_BODY = 64 * 1024  # bytes of a body that is read in full; a longer one is streamed
+MOST_BODY = 40 << 20  # bytes of a request's body
 
-Body = list[bytes]  # the pieces of a body as they were read
+Body = list[bytes]  # the chunks of a body as they were received
 
-# What a figure may be at most: past it the report was spoilt on its way, and it is taken for missing.
-# Utilisation may stand a little over 1, for reports are noisy.
-_LOAD_MOST = {"utilisation": 2.0, "error_rate": 1e5, "latency": 1e6}
-_LOAD_MOST_ELSE = 1e5
+# A figure over its limit counts as missing. Utilisation is noisy and may exceed 1 a little.
+_MAX_LOAD = {"utilisation": 2.0, "error_rate": 1e5, "latency": 1e6}  # latency in ms
+_MAX_OTHER_LOAD = 1e5
+_LOAD_CACHE_SIZE = 256  # upstreams repeat a report in many responses
+_MS_PER_S = 1000.0
 
-
-_LINES = {s.value: b"HTTP/1.1 %d %s\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
+_STATUS_LINES = {s.value: b"HTTP/1.1 %d %s\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
 
 
 def readable(fd: int) -> bool:
-    """Whether a read would find something now: bytes, or the end of the stream."""
+    """Return whether data or the end of the stream can be read."""
     return _polled(fd, select.POLLIN)
 
 
 def hung_up(fd: int) -> bool:
-    """Whether the peer has closed its side or reset the connection, whatever can be read before that."""
+    """Return whether the peer has closed its side or reset the connection, even behind unread data."""
     return _polled(fd, select.POLLRDHUP)
 
 
 def _polled(fd: int, events: int) -> bool:
-    """Whether the system tells any of some events, or an error, now. One that has no memory to look with
-    tells nothing: what is asked here is asked again."""
+    """Return whether the system reports any of some events, or an error; False if it cannot tell."""
     poll = select.poll()
     poll.register(fd, events)
     try:
@@ -56,94 +55,106 @@
 
 
 def unsent(fd: int) -> int:
-    """Bytes that were written and that the peer's system has not got yet: a reset would lose them."""
+    """Return the number of written bytes that the peer's system has not acknowledged."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
-    except OSError:  # it is gone, and they with it
+    except OSError:  # the connection is closed
         return 0
 
 
 class RequestError(Exception):
-    """A message that cannot be taken; ``status`` is what its sender is told."""
+    """A request that is rejected; ``status`` is that of the response."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
     @classmethod
     def of(cls, error: Exception) -> RequestError:
-        """What the parser's error says: one that a callback has raised goes before the parser's own word."""
+        """Return the error that a parser's callback has raised, or 400 for one of the parser's own."""
         cause = error.__context__
         return cause if isinstance(cause, cls) else cls(400, str(error))
 
 
 def one_framing(headers: Mapping[bytes, bytes]) -> None:
-    """Refuse a message that says in two ways where it ends, whatever the parser takes. Guards against the
-    smuggled request: an upstream may let the other length win, and find a second request inside the body."""
+    """Raise RequestError if a message gives its length in two ways.
+
+    An upstream that prefers the other one would find a second request in the body (request smuggling).
+    """
     if b"content-length" in headers and b"transfer-encoding" in headers:
         raise RequestError(400, "both Content-Length and Transfer-Encoding")
 
 
 def head(status: int, length: int, retry_after_s: float = 0.0, close: bool = False) -> bytes:
-    """An answer's head; ``length`` of the body in bytes, -1: in chunks."""
-    found = b"Content-Length: %d\r\n" % length if length >= 0 else b"Transfer-Encoding: chunked\r\n"
+    """Return a response's head; ``length`` is that of the body in bytes, -1 if it is chunked."""
+    headers = b"Content-Length: %d\r\n" % length if length >= 0 else b"Transfer-Encoding: chunked\r\n"
     if retry_after_s > 0.0:
-        found += b"Retry-After: %.3f\r\n" % retry_after_s
-    return _LINES[status] + found + (b"Connection: close\r\n\r\n" if close else b"\r\n")
+        headers += b"Retry-After: %.3f\r\n" % retry_after_s
+    return _STATUS_LINES[status] + headers + (b"Connection: close\r\n\r\n" if close else b"\r\n")
 
 
 def response(status: int, body: Body, retry_after_s: float = 0.0, close: bool = False) -> list[bytes]:
-    """A whole answer, head first."""
+    """Return a complete response, head first."""
     return [head(status, sum(map(len, body)), retry_after_s, close), *body]
 
 
 def chunk(pieces: Sequence[bytes], last: bool) -> list[bytes]:
-    """Pieces of a body as one chunk; and, after the ``last``, the end."""
+    """Return parts of a body as one chunk of a chunked body, followed by its end if ``last``."""
     size = sum(map(len, pieces))
     framed = [b"%x\r\n" % size, *pieces, b"\r\n"] if size else []
     return [*framed, b"0\r\n\r\n"] if last else framed
 
 
 def host(address: tuple[str, int]) -> bytes:
+    """Return an address as the value of a ``Host`` header."""
     return f"{address[0]}:{address[1]}".encode()
 
 
-@lru_cache(256)  # upstreams refresh their report now and then, and many answers carry the same
+@lru_cache(_LOAD_CACHE_SIZE)
 def load_figures(text: str | None) -> dict[str, float] | None:
-    """Read a load report, ``name=value,name=value``. What is missing, -1, no number or absurd stays
-    missing. The same text gives the same dictionary: nobody changes it."""
+    """Parse a load report, ``name=value,name=value``; latency becomes seconds.
+
+    Negative, invalid and excessive figures are left out. Return None if nothing is left. Results are cached,
+    so they must not be modified.
+    """
     if not text:
         return None
     figures: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition("=")
-        known = LOAD_FIELDS.get(name.strip())
-        if known is None:
+        field = LOAD_FIELDS.get(name.strip())
+        if field is None:
             continue
         try:
             figure = float(value)
         except ValueError:
             continue
-        if math.isfinite(figure) and 0.0 <= figure <= _LOAD_MOST.get(known, _LOAD_MOST_ELSE):
-            figures[known] = figure / 1000.0 if known == "latency" else figure
+        if math.isfinite(figure) and 0.0 <= figure <= _MAX_LOAD.get(field, _MAX_OTHER_LOAD):
+            figures[field] = figure / _MS_PER_S if field == "latency" else figure
     return figures or None
 
 
 def bind(address: tuple[str, int], inherited: int = -1) -> socket.socket:
-    """The socket to listen on: a new one, or the platform's own by its descriptor, as it is. Raises OSError
-    where that is closed or no socket that listens."""
+    """Return a non-blocking socket to listen on: a new one, or the ``inherited`` descriptor.
+
+    Raises OSError if the address cannot be bound or the descriptor is not a listening socket.
+    """
     if inherited >= 0:
-        try:
-            sock = socket.socket(fileno=inherited)
-            listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-        except OSError:
-            listens = 0
-        if not listens:
-            raise OSError(errno.ENOTSOCK, f"descriptor {inherited} is no socket that listens")
-        sock.setblocking(False)
-        return sock
+        return _inherited_listener(inherited)
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
     sock.bind(address)
     return sock
+
+
+def _inherited_listener(fd: int) -> socket.socket:
+    try:
+        sock = socket.socket(fileno=fd)
+        is_listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+    except OSError:
+        is_listening = 0
+    if not is_listening:
+        raise OSError(errno.ENOTSOCK, f"descriptor {fd} is not a listening socket")
+    sock.setblocking(False)
+    return sock
