--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -1,8 +1,8 @@
-"""CPU per exchange of the daemon, of a bare relay and of a minimal aiohttp proxy, side by side in one run.
+"""CPU time per exchange of the daemon, of a bare relay and of a minimal aiohttp proxy, in one run.
 
-They take turns, round by round, between the same peers; each figure is the CPU time of the whole
-process by the system's own count, over the exchanges of one round. The proxy takes part where aiohttp is
-installed (``pip install '.[benchmarks]'``). Run as
+They take turns, round by round, between the same peers. Each figure is the CPU time of the process by the
+system's count, over the exchanges of one round. The proxy takes part if aiohttp is installed
+(``pip install '.[benchmarks]'``). Run as
 ``python -m benchmarks.exchange [--rounds N] [--requests N] [--rate R] [--other CHECKOUT]``.
 """
 
@@ -24,6 +24,9 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
+_CONNECTIONS = 16  # of the load
+_START_ATTEMPTS = 400
+_START_INTERVAL_S = 0.01
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "view", "objective-s": 0.6, "deadline-s": 1.2, "effect": "safe", "importance": 2.0},
@@ -45,20 +48,21 @@
 
 
 class Role:
-    """One peer's process."""
+    """A peer of the benchmark in a process of its own."""
 
     def __init__(self, *args: str) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-m", "benchmarks.peers", *args], cwd=ROOT, stdout=subprocess.PIPE, text=True
         )
         assert self.process.stdout is not None
-        said = self.process.stdout.readline()
-        if not said:
+        line = self.process.stdout.readline()
+        if not line:
             raise SystemExit(f"the peer {args[0]} did not start")
-        self.port = int(said)
+        self.port = int(line)
 
 
 def free_port() -> int:
+    """Return a port that nothing listens on."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         return int(server.getsockname()[1])
 
@@ -66,7 +70,7 @@
 def start_daemon(
     tmp: Path, upstreams: list[int], discovery: int, sockets: int = 1024, root: Path = ROOT
 ) -> tuple[subprocess.Popen[bytes], int]:
-    """The program as ``run`` starts it, ready; its process and port."""
+    """Start the daemon of a checkout. Return its process and port when it accepts connections."""
     port = free_port()
     endpoints = [
         {"name": f"s-{i}", "address": f"127.0.0.1:{upstream}", "zone": "z", "type": "m", "group": i % 3,
@@ -93,15 +97,15 @@
         env={**os.environ, "BALANCER_CONFIG": str(config)},
         stderr=(tmp / "log").open("ab"),
     )
-    for _ in range(400):
+    for _ in range(_START_ATTEMPTS):
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port)):
             return process, port
-        time.sleep(0.01)
+        time.sleep(_START_INTERVAL_S)
     raise SystemExit("the daemon did not start")
 
 
 def cpu(pid: int) -> float:
-    """Seconds of CPU a process has used, all threads, to the nanosecond."""
+    """Return the CPU time that all threads of a process have used, in seconds."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += int((task / "schedstat").read_text().split()[0])
@@ -109,35 +113,28 @@
 
 
 def memory_kb(pid: int) -> int:
-    """Resident memory of a process."""
+    """Return the resident memory of a process, in kB."""
     text = Path(f"/proc/{pid}/status").read_text()
     return int(text.split("VmRSS:")[1].split()[0])
 
 
 def submit(port: int, connections: int, requests: int, rate: float = 0.0) -> dict[str, float]:
-    """One round of load, from a process of its own."""
-    done = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "benchmarks.peers",
-            "submit",
-            str(port),
-            str(connections),
-            str(requests),
-            str(rate),
-        ],
+    """Run one round of load from a process of its own. Return its results."""
+    arguments = [str(port), str(connections), str(requests), str(rate)]
+    process = subprocess.run(
+        [sys.executable, "-m", "benchmarks.peers", "submit", *arguments],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
     )
-    result: dict[str, float] = json.loads(done.stdout)
+    result: dict[str, float] = json.loads(process.stdout)
     return result
 
 
 @contextlib.contextmanager
 def roles(*starts: tuple[str, ...]) -> Iterator[list[Role]]:
+    """Run peers, each given by its role and arguments, within a context."""
     started: list[Role] = []
     try:
         for args in starts:
@@ -149,52 +146,73 @@
             role.process.wait()
 
 
-def main() -> None:
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--requests", type=int, default=8000, help="in each round")
     parser.add_argument("--rate", type=float, default=0.0, help="requests a second; 0: without a limit")
     parser.add_argument("--upstreams", type=int, default=2)
     parser.add_argument("--other", type=Path, help="another checkout, whose daemon takes turns too")
-    options = parser.parse_args()
-    with (
-        roles(*[("node",)] * options.upstreams, ("discovery",)) as peers,
-        tempfile.TemporaryDirectory() as name,
-    ):
-        upstreams, discovery = [p.port for p in peers[:-1]], peers[-1].port
-        others = [("relay", str(upstreams[0]))]
-        if importlib.util.find_spec("aiohttp"):
-            others.append(("aiohttp", *map(str, upstreams)))
-        else:
-            print("aiohttp is not installed: its proxy is left out")
-        with roles(*others) as beside:
-            daemons = {"daemon": start_daemon(Path(name), upstreams, discovery)}
+    return parser.parse_args()
+
+
+def _measure(candidates: dict[str, tuple[int, int]], options: argparse.Namespace) -> dict[str, list[float]]:
+    """Run the rounds. Return the CPU time per exchange in us, by candidate, without the first round."""
+    results: dict[str, list[float]] = {name: [] for name in candidates}
+    for number in range(options.rounds + 1):
+        for name, (pid, port) in candidates.items():
+            before = cpu(pid)
+            result = submit(port, _CONNECTIONS, options.requests, options.rate)
+            cpu_us = 1e6 * (cpu(pid) - before) / options.requests
+            if number:  # the first round warms up
+                results[name].append(cpu_us)
+            print(f"{number} {name:8} {cpu_us:7.1f} us  {result}", flush=True)
+    return results
+
+
+def _print_summary(results: dict[str, list[float]]) -> None:
+    relay_us = statistics.median(results["relay"])
+    for name, figures in results.items():
+        median_us = statistics.median(figures)
+        print(
+            f"{name:8} {median_us:7.1f} us of CPU an exchange ({min(figures):.1f} to {max(figures):.1f}),"
+            f" {median_us / relay_us:.1f} times the relay"
+        )
+
+
+def _proxies(upstreams: list[int]) -> list[tuple[str, ...]]:
+    """Return the roles that the daemon is compared with."""
+    proxies: list[tuple[str, ...]] = [("relay", str(upstreams[0]))]
+    if importlib.util.find_spec("aiohttp"):
+        proxies.append(("aiohttp", *map(str, upstreams)))
+    else:
+        print("aiohttp is not installed: its proxy is left out")
+    return proxies
+
+
+def main() -> None:
+    """Run the benchmark and print its results."""
+    options = _parse_arguments()
+    starts = [("upstream",)] * options.upstreams
+    with roles(*starts, ("discovery",)) as peers, tempfile.TemporaryDirectory() as tmp:
+        upstreams = [peer.port for peer in peers[:-1]]
+        discovery = peers[-1].port
+        proxies = _proxies(upstreams)
+        with roles(*proxies) as proxy_roles:
+            daemons = {"daemon": start_daemon(Path(tmp), upstreams, discovery)}
             if options.other:
-                daemons["other"] = start_daemon(Path(name), upstreams, discovery, root=options.other)
-            under = {
-                **{what: (process.pid, port) for what, (process, port) in daemons.items()},
-                **{args[0]: (role.process.pid, role.port) for args, role in zip(others, beside, strict=True)},
-            }
-            found: dict[str, list[float]] = {what: [] for what in under}
+                daemons["other"] = start_daemon(Path(tmp), upstreams, discovery, root=options.other)
+            candidates = {name: (process.pid, port) for name, (process, port) in daemons.items()}
+            for (name, *_), role in zip(proxies, proxy_roles, strict=True):
+                candidates[name] = (role.process.pid, role.port)
             try:
-                for turn in range(options.rounds + 1):
-                    for what, (pid, port) in under.items():
-                        before = cpu(pid)
-                        result = submit(port, 16, options.requests, options.rate)
-                        spent = 1e6 * (cpu(pid) - before) / options.requests
-                        if turn:  # the first warms up
-                            found[what].append(spent)
-                        print(f"{turn} {what:8} {spent:7.1f} us  {result}", flush=True)
-                for what, (process, _) in daemons.items():
-                    print(f"{what:8} {memory_kb(process.pid)} kB resident after all rounds")
+                results = _measure(candidates, options)
+                for name, (process, _) in daemons.items():
+                    print(f"{name:8} {memory_kb(process.pid)} kB resident after all rounds")
             finally:
                 for process, _ in daemons.values():
                     process.kill()
-            base = statistics.median(found["relay"])
-            for what, figures in found.items():
-                low, middle, high = min(figures), statistics.median(figures), max(figures)
-                print(f"{what:8} {middle:7.1f} us of CPU an exchange ({low:.1f} to {high:.1f}),"
-                      f" {middle / base:.1f} times the relay")  # fmt: skip
+            _print_summary(results)
 
 
 if __name__ == "__main__":
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,7 +1,6 @@
-"""Memory per idle connection of the daemon, on each side.
+"""Memory per idle connection, to clients in the daemon and to upstreams in a pool of this process.
 
-Clients: connections that have asked once and then say nothing, counted before the daemon ends them.
-Upstreams: connections of a manager in this process, all idle. Run as
+The connections to clients have carried one request each and are counted before the daemon closes them. Run as
 ``python -m benchmarks.idle [--connections N]``.
 """
 
@@ -20,97 +19,111 @@
 from benchmarks.exchange import memory_kb, roles, start_daemon
 from indigokeel.net.upstream import (
     CloseReason,
+    ConnectFailure,
     ConnectionLimits,
     ConnectionPool,
+    PoolOptions,
     Telemetry,
     UpstreamConnection,
 )
 
-_JOB = (
+_BYTES_PER_KB = 1024.0
+_CONNECT_TIMEOUT_S = 5.0
+_POLL_INTERVAL_S = 0.01
+_SETTLE_S = 0.5
+_WARM_UP_CONNECTIONS = 20
+_BATCH = 100  # connects that are started without a pause
+
+_REQUEST = (
     b"GET /view/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %x\r\nRequest-Class: view\r\n"
     b"Request-Timeout-Ms: 1000\r\n\r\n"
 )
 
 
-async def _ask(port: int, connections: int) -> list[asyncio.StreamWriter]:
-    """As many connections, each with one request served."""
-    open_ = []
-    for number in range(connections):
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(_JOB % (number, number))
-        await reader.readuntil(b"done")
-        open_.append(writer)
-    return open_
-
-
-async def _submitters(pid: int, port: int, connections: int) -> float:
-    for writer in await _ask(port, 20):  # warm
-        writer.close()
-    await asyncio.sleep(0.5)
-    before = memory_kb(pid)
-    open_ = await _ask(port, connections)
-    after = memory_kb(pid)
-    for writer in open_:
-        writer.close()
-    return (after - before) * 1024.0 / connections
-
+class _IgnoringHandler:
+    """A connection's handler that does nothing (ConnectionHandler)."""
 
-class _Quiet:
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
 
     def on_data(self, data: bytes) -> None:
-        """Ignore received bytes (ConnectionHandler)."""
+        """Ignore received bytes."""
 
     def on_writable(self) -> None:
-        """Do nothing: nothing is written (ConnectionHandler)."""
+        """Do nothing."""
 
     def on_closed(self, reason: CloseReason) -> None:
-        """Ignore the end of the connection (ConnectionHandler)."""
+        """Ignore the end of the connection."""
+
 
+async def _open_clients(port: int, connections: int) -> list[asyncio.StreamWriter]:
+    """Open connections to the daemon, with one request served on each."""
+    writers = []
+    for number in range(connections):
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+        writer.write(_REQUEST % (number, number))
+        await reader.readuntil(b"done")
+        writers.append(writer)
+    return writers
+
+
+async def _bytes_per_client(pid: int, port: int, connections: int) -> float:
+    """Return the memory of the daemon for one idle connection to a client."""
+    for writer in await _open_clients(port, _WARM_UP_CONNECTIONS):
+        writer.close()
+    await asyncio.sleep(_SETTLE_S)
+    before = memory_kb(pid)
+    writers = await _open_clients(port, connections)
+    after = memory_kb(pid)
+    for writer in writers:
+        writer.close()
+    return (after - before) * _BYTES_PER_KB / connections
 
-async def _nodes(port: int, connections: int) -> float:
-    """In this process: links of a manager of its own, all idle."""
-    manager = ConnectionPool(
+
+async def _bytes_per_upstream(port: int, connections: int) -> float:
+    """Return the memory of this process for one idle connection to an upstream."""
+    pool = ConnectionPool(
         ConnectionLimits(connections, connections, connections),
-        _Quiet,
+        _IgnoringHandler,
         Telemetry(lambda _: None, lambda *_: None, time.monotonic),
+        PoolOptions(connect_timeout_s=_CONNECT_TIMEOUT_S),
     )
-    up: list[UpstreamConnection] = []
+    established: list[UpstreamConnection] = []
+
+    def on_result(result: UpstreamConnection | ConnectFailure) -> None:
+        if isinstance(result, UpstreamConnection):
+            established.append(result)
+
     before = memory_kb(os.getpid())
     for _ in range(connections):
-        found = manager.acquire(
-            "n",
-            ("127.0.0.1", port),
-            5.0,
-            lambda connection: up.append(connection) if isinstance(connection, UpstreamConnection) else None,
-        )
-        if len(manager.table) % 100 == 0:
-            await asyncio.sleep(0.01)
+        found = pool.acquire("n", ("127.0.0.1", port), _CONNECT_TIMEOUT_S, on_result)
         assert not isinstance(found, UpstreamConnection)
-    while len(up) < connections:
-        await asyncio.sleep(0.01)
-    for connection in up:
-        manager.release(connection, True)
+        if len(pool.table) % _BATCH == 0:
+            await asyncio.sleep(_POLL_INTERVAL_S)
+    while len(established) < connections:
+        await asyncio.sleep(_POLL_INTERVAL_S)
+    for connection in established:
+        pool.release(connection, True)
     after = memory_kb(os.getpid())
-    manager.end()
-    return (after - before) * 1024.0 / connections
+    pool.end()
+    return (after - before) * _BYTES_PER_KB / connections
 
 
 def main() -> None:
+    """Measure both sides and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--connections", type=int, default=2000)
     options = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    with roles(("node",), ("discovery",)) as (upstream, discovery), tempfile.TemporaryDirectory() as name:
+    with roles(("upstream",), ("discovery",)) as (upstream, discovery), tempfile.TemporaryDirectory() as name:
         process, port = start_daemon(Path(name), [upstream.port], discovery.port, 20 * options.connections)
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-                upstreams = runner.run(_nodes(upstream.port, options.connections))
-                print(f"to an execute node, idle: {upstreams:.0f} bytes", flush=True)
-                held = runner.run(_submitters(process.pid, port, options.connections))
-                print(f"of a submitter, idle after its first job: {held:.0f} bytes", flush=True)
+                size = runner.run(_bytes_per_upstream(upstream.port, options.connections))
+                print(f"to an upstream, idle: {size:.0f} bytes", flush=True)
+                size = runner.run(_bytes_per_client(process.pid, port, options.connections))
+                print(f"of a client, idle after its first request: {size:.0f} bytes", flush=True)
         finally:
             process.kill()
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,8 @@
-"""What is still served when the sidecar itself is asked for more than its core carries: 50% to 300% of it.
+"""Goodput of the daemon at 50% to 300% of the load that its core can carry.
 
-Open-loop floods from four processes; service is the worth answered within the aim over the worth asked. Two
-checkouts can take turns. Run as ``python -m benchmarks.overload [--capacity R] [--other DIR]``.
+The load is open-loop, from four processes. Goodput is the priority weight of the requests answered within the
+latency objective over that of all requests. Two checkouts can take turns. Run as
+``python -m benchmarks.overload [--capacity R] [--other DIR]``.
 """
 
 from __future__ import annotations
@@ -13,70 +14,97 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Any
 
 from benchmarks.exchange import ROOT, cpu, roles, start_daemon, submit
 
-_WORTH = {"view": 2.0, "order": 10.0}
-_FLOODS = 4
-
-
-def flood(port: int, rate: float, seconds: float, lines: int, seed: int) -> dict[str, float]:
-    """One load level: the service of each class and of all, and how the rest was answered."""
-    started = [
-        subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.peers", "flood",
-             *map(str, (port, lines // _FLOODS, rate / _FLOODS, seconds, seed * 10 + i))],
-            cwd=ROOT, stdout=subprocess.PIPE, text=True,
-        )
-        for i in range(_FLOODS)
-    ]  # fmt: skip
-    found = [json.loads(process.communicate()[0]) for process in started]
-    total: dict[str, float] = {"refusal_p50_ms": max(f["refusal_p50_ms"] for f in found)}
-    asked = served = 0.0
-    for name, priority_weight in _WORTH.items():
-        rows = [f["counts"].get(name, {}) for f in found]
-        wanted, good = (sum(row.get(what, 0) for row in rows) for what in ("asked", "in_time"))
-        total[name] = good / max(wanted, 1)
-        asked, served = asked + wanted * priority_weight, served + good * priority_weight
-        for what in ("late", "refused", "failed", "lost", "no_line"):
-            total[what] = total.get(what, 0) + sum(row.get(what, 0) for row in rows)
-    total["service"] = served / asked
-    total["own_lag_ms"] = 1e3 * max(f["own_lag"] for f in found)
-    return total
+_PRIORITY_WEIGHTS = {"view": 2.0, "order": 10.0}
+_LOAD_PROCESSES = 4
+_SOCKETS = 20_000
+_WARM_UP_REQUESTS = 4000
+_CAPACITY_REQUESTS = 8000
+_CAPACITY_CONNECTIONS = 16
+_FAILURES = ("late", "refused", "failed", "lost", "no_connection")
 
+Daemon = tuple[subprocess.Popen[bytes], int]
 
-def main() -> None:
+
+def run_load(port: int, rate: float, seconds: float, connections: int, seed: int) -> dict[str, float]:
+    """Run one load level. Return the goodput of each class and of all, and the counts of other results."""
+    arguments = [str(port), str(connections // _LOAD_PROCESSES), str(rate / _LOAD_PROCESSES), str(seconds)]
+    command = [sys.executable, "-m", "benchmarks.peers", "flood", *arguments]
+    processes = [
+        subprocess.Popen([*command, str(seed * 10 + i)], cwd=ROOT, stdout=subprocess.PIPE, text=True)
+        for i in range(_LOAD_PROCESSES)
+    ]
+    return _summarize([json.loads(process.communicate()[0]) for process in processes])
+
+
+def _summarize(reports: list[dict[str, Any]]) -> dict[str, float]:
+    summary: dict[str, float] = {"refusal_p50_ms": max(report["refusal_p50_ms"] for report in reports)}
+    offered_weight = 0.0
+    served_weight = 0.0
+    for name, weight in _PRIORITY_WEIGHTS.items():
+        rows = [report["counts"].get(name, {}) for report in reports]
+        offered = sum(row.get("offered", 0) for row in rows)
+        in_time = sum(row.get("in_time", 0) for row in rows)
+        summary[name] = in_time / max(offered, 1)
+        offered_weight += offered * weight
+        served_weight += in_time * weight
+        for failure in _FAILURES:
+            summary[failure] = summary.get(failure, 0) + sum(row.get(failure, 0) for row in rows)
+    summary["goodput"] = served_weight / offered_weight
+    summary["load_lag_ms"] = 1e3 * max(report["lag_s"] for report in reports)
+    return summary
+
+
+def _measure_capacity(daemon: Daemon) -> float:
+    """Return the requests that a second of CPU carries."""
+    process, port = daemon
+    submit(port, _CAPACITY_CONNECTIONS, _WARM_UP_REQUESTS)
+    before = cpu(process.pid)
+    submit(port, _CAPACITY_CONNECTIONS, _CAPACITY_REQUESTS)
+    return _CAPACITY_REQUESTS / (cpu(process.pid) - before)
+
+
+def _run_level(name: str, daemon: Daemon, level: int, capacity: float, options: argparse.Namespace) -> None:
+    process, port = daemon
+    before = cpu(process.pid)
+    summary = run_load(port, capacity * level / 100, options.seconds, options.connections, level)
+    cpu_ratio = (cpu(process.pid) - before) / options.seconds
+    row = ", ".join(f"{key} {value:.3g}" for key, value in summary.items())
+    print(f"{level:3}% {name:6}: {row}, cpu {cpu_ratio:.2f}", flush=True)
+
+
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--capacity", type=float, default=0.0, help="jobs a second; 0: measured first")
+    parser.add_argument("--capacity", type=float, default=0.0, help="requests a second; 0: measured first")
     parser.add_argument("--seconds", type=float, default=5.0)
-    parser.add_argument("--lines", type=int, default=3000)
+    parser.add_argument("--connections", type=int, default=3000)
     parser.add_argument("--other", type=Path)
     parser.add_argument("--levels", type=int, nargs="*", default=[50, 80, 100, 120, 150, 200, 250, 300])
-    options = parser.parse_args()
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Run all load levels and print a line for each."""
+    options = _parse_arguments()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    with roles(("node",), ("node",), ("discovery",)) as peers, tempfile.TemporaryDirectory() as name:
-        upstreams, discovery = [p.port for p in peers[:-1]], peers[-1].port
-        under = {"daemon": ROOT, **({"other": options.other} if options.other else {})}
+    checkouts = {"daemon": ROOT, **({"other": options.other} if options.other else {})}
+    with roles(("upstream",), ("upstream",), ("discovery",)) as peers, tempfile.TemporaryDirectory() as tmp:
+        upstreams = [peer.port for peer in peers[:-1]]
+        discovery = peers[-1].port
         daemons = {
-            what: start_daemon(Path(name), upstreams, discovery, 20_000, root) for what, root in under.items()
+            name: start_daemon(Path(tmp), upstreams, discovery, _SOCKETS, root)
+            for name, root in checkouts.items()
         }
         try:
-            capacity = options.capacity
-            if not capacity:
-                process, port = daemons["daemon"]
-                submit(port, 16, 4000)
-                before = cpu(process.pid)
-                submit(port, 16, 8000)
-                capacity = 8000 / (cpu(process.pid) - before)
-            print(f"one core carries {capacity:.0f} jobs a second", flush=True)
+            capacity = options.capacity or _measure_capacity(daemons["daemon"])
+            print(f"one core carries {capacity:.0f} requests a second", flush=True)
             for level in options.levels:
-                for what, (process, port) in daemons.items():
-                    before = cpu(process.pid)
-                    found = flood(port, capacity * level / 100, options.seconds, options.lines, level)
-                    spent = (cpu(process.pid) - before) / options.seconds
-                    row = ", ".join(f"{key} {value:.3g}" for key, value in found.items())
-                    print(f"{level:3}% {what:6}: {row}, cpu {spent:.2f}", flush=True)
+                for name, daemon in daemons.items():
+                    _run_level(name, daemon, level, capacity, options)
         finally:
             for process, _ in daemons.values():
                 process.kill()
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,7 +1,7 @@
-"""The peers of the measurements: minimal upstreams, clients and discovery, a bare relay and an aiohttp proxy.
+"""The peers of the benchmarks: minimal upstreams, clients and discovery, a bare relay and an aiohttp proxy.
 
-Each is a function that serves for ever in a process of its own, on 127.0.0.1, and says its port on
-standard output. ``python -m benchmarks.peers ROLE ARGS`` starts one.
+Each runs in a process of its own, started by ``python -m benchmarks.peers ROLE ARGS``. Servers listen on
+127.0.0.1 and print their port; clients print their results as JSON.
 """
 
 from __future__ import annotations
@@ -11,67 +11,88 @@
 import json
 import sys
 import time
+from collections.abc import Callable
 from random import Random
 from typing import Any, cast
 
 import uvloop
 
+_LIFETIME_S = 3600  # of a server, unless it is killed before
+_WATCH_INTERVAL_S = 2.0  # between two empty chunks of the discovery service
+_LATENCY_OBJECTIVE_S = 0.6
+_ORDER_RATIO = 0.37  # of the requests of a flood; the others are views
+_MAX_SLEEP_S = 0.002
+_REQUESTS_PER_PAUSE = 20
+_DRAIN_S = 1.5  # for the responses to the last requests of a flood
+
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nServer-Load: util=0.30,qps=100\r\n\r\ndone"
 
 
-class Node(asyncio.Protocol):
-    """Answers each message (told by its empty line; bodies are not looked at) with the same 64 bytes."""
+class Upstream(asyncio.Protocol):
+    """An upstream that sends the same response for each empty line that it receives."""
 
     def __init__(self, closing: bool = False) -> None:
         self._closing = closing
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio.Protocol)."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        found = data.count(b"\r\n\r\n")
-        if found:
-            self._transport.write(ANSWER * found)
+        """Respond to each request (asyncio.Protocol)."""
+        requests = data.count(b"\r\n\r\n")
+        if requests:
+            self._transport.write(ANSWER * requests)
             if self._closing:
                 self._transport.close()
 
 
-class _Far(asyncio.Protocol):
-    def __init__(self, near: Relay) -> None:
-        self._near = near
+Node = Upstream  # the name that benchmarks.accept uses
+
+
+class _RelayUpstream(asyncio.Protocol):
+    """The upstream's side of a relay."""
+
+    def __init__(self, relay: Relay) -> None:
+        self._relay = relay
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._near.far = cast(asyncio.Transport, transport)
-        self._near.far.write(b"".join(self._near.early))
+        """Send what the client has sent so far (asyncio.Protocol)."""
+        self._relay.upstream = cast(asyncio.Transport, transport)
+        self._relay.upstream.write(b"".join(self._relay.early))
 
     def data_received(self, data: bytes) -> None:
-        self._near.near.write(data)
+        """Forward bytes to the client (asyncio.Protocol)."""
+        self._relay.client.write(data)
 
 
 class Relay(asyncio.Protocol):
-    """Passes bytes between a client's connection and one to an upstream, and reads none of them."""
+    """Forwards bytes between a client's connection and one to an upstream, without parsing them."""
 
-    def __init__(self, upstream: int) -> None:
-        self._node = upstream
-        self.far: asyncio.Transport | None = None
-        self.early: list[bytes] = []
+    def __init__(self, port: int) -> None:
+        self._port = port
+        self.upstream: asyncio.Transport | None = None
+        self.early: list[bytes] = []  # received before the upstream's connection was established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.near = cast(asyncio.Transport, transport)
+        """Connect to the upstream (asyncio.Protocol)."""
+        self.client = cast(asyncio.Transport, transport)
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(loop.create_connection(lambda: _Far(self), "127.0.0.1", self._node))
+        connect = loop.create_connection(lambda: _RelayUpstream(self), "127.0.0.1", self._port)
+        self._task = loop.create_task(connect)
 
     def data_received(self, data: bytes) -> None:
-        if self.far is None:
+        """Forward bytes to the upstream (asyncio.Protocol)."""
+        if self.upstream is None:
             self.early.append(data)
         else:
-            self.far.write(data)
+            self.upstream.write(data)
 
 
-async def _serve(factory: Any) -> None:
+async def _serve(factory: Callable[[], asyncio.Protocol]) -> None:
     server = await asyncio.get_running_loop().create_server(factory, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
-    await asyncio.sleep(3600)
+    await asyncio.sleep(_LIFETIME_S)
 
 
 async def _discovery() -> None:
@@ -80,11 +101,11 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         while True:
             writer.write(b"1\r\n\n\r\n")
-            await asyncio.sleep(2.0)
+            await asyncio.sleep(_WATCH_INTERVAL_S)
 
     server = await asyncio.start_server(watch, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
-    await asyncio.sleep(3600)
+    await asyncio.sleep(_LIFETIME_S)
 
 
 async def _aiohttp(upstreams: list[int]) -> None:
@@ -95,7 +116,7 @@
     turn = cycle(upstreams)
     async with ClientSession() as session:
 
-        async def handle(request: web.RequestState) -> web.Response:
+        async def handle(request: web.Request) -> web.Response:
             url = f"http://127.0.0.1:{next(turn)}{request.path_qs}"
             async with session.request(request.method, url, data=await request.read() or None) as answer:
                 return web.Response(status=answer.status, body=await answer.read())
@@ -107,13 +128,17 @@
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
         print(cast(Any, runner.addresses)[0][1], flush=True)
-        await asyncio.sleep(3600)
+        await asyncio.sleep(_LIFETIME_S)
 
 
 async def _submit(port: int, connections: int, requests: int, rate: float) -> None:
-    """Send ``requests`` in all over keep-alive connections, one at a time on each; as fast as answers come,
-    or at ``rate`` a second where that is positive. Prints what came, as JSON."""
-    served, others, number = 0, 0, 0
+    """Send requests over keep-alive connections, one at a time on each, and print the results.
+
+    ``rate`` limits the requests a second; 0 is no limit.
+    """
+    served = 0
+    others = 0
+    number = 0
     latencies: list[float] = []
     began = time.perf_counter()
 
@@ -121,7 +146,8 @@
         nonlocal served, others, number
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         while number < requests:
-            mine, number = number, number + 1
+            mine = number
+            number += 1
             if rate > 0.0:
                 await asyncio.sleep(max(began + mine / rate - time.perf_counter(), 0.0))
             sent = time.perf_counter()
@@ -155,117 +181,138 @@
     )
 
 
-class _Line(asyncio.Protocol):
-    """One client's connection of a flood: sends what is due as soon as it is free."""
+class _FloodConnection(asyncio.Protocol):
+    """A client's connection of a flood, with one request at a time."""
 
     def __init__(self, flood: Flood) -> None:
-        self._flood, self._due, self._class = flood, 0.0, ""
-        self._body, self._rest = 0, b""
+        self._flood = flood
+        self._due = 0.0
+        self._class = ""
+        self._received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Offer the connection to the flood (asyncio.Protocol)."""
         self._transport = cast(asyncio.Transport, transport)
         self._flood.free.append(self)
 
     def send(self, due: float, class_name: str, message: bytes) -> None:
-        self._due, self._class = due, class_name
+        """Send a request that was due at a time."""
+        self._due = due
+        self._class = class_name
         self._transport.write(message)
 
     def data_received(self, data: bytes) -> None:
-        self._rest += data
-        end = self._rest.find(b"\r\n\r\n")
+        """Report a response when it is complete (asyncio.Protocol)."""
+        self._received += data
+        end = self._received.find(b"\r\n\r\n")
         if end < 0:
             return
-        at = self._rest.find(b"Content-Length: ")
-        if len(self._rest) < end + 4 + int(self._rest[at + 16 : self._rest.index(b"\r", at)]):
+        at = self._received.find(b"Content-Length: ")
+        length = int(self._received[at + 16 : self._received.index(b"\r", at)])
+        if len(self._received) < end + 4 + length:
             return
-        status, last = int(self._rest[9:12]), b"Connection: close" in self._rest
-        self._rest = b""
-        self._flood.done(self, self._class, self._due, status, last)
+        status = int(self._received[9:12])
+        is_last = b"Connection: close" in self._received
+        self._received = b""
+        self._flood.on_response(self, self._class, self._due, status)
+        if not is_last:
+            self._flood.free.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._flood.lost(self)
+        """Report the end of the connection (asyncio.Protocol)."""
+        self._flood.on_connection_lost(self)
 
 
 class Flood:
-    """Open-loop load: arrivals are fixed ahead, whatever the answers; time counts from the arrival meant."""
-
-    def __init__(self, port: int, lines: int, rate: float, seconds: float, seed: int) -> None:
-        self._port, self._lines, self._rate, self._seconds = port, lines, rate, seconds
-        self._seed, self.free = seed, list[_Line]()
-        self.open: dict[_Line, str] = {}
-        self.counts: dict[str, dict[str, int]] = {}
-        self.turned: list[float] = []
-        self.own_lag = 0.0
-
-    def _count(self, class_name: str, what: str) -> None:
-        row = self.counts.setdefault(class_name, {})
-        row[what] = row.get(what, 0) + 1
-
-    def done(self, line: _Line, class_name: str, due: float, status: int, last: bool) -> None:
-        self.open.pop(line, None)
-        took = time.perf_counter() - due
+    """Open-loop load: arrivals do not depend on responses, and latencies count from the due arrival."""
+
+    def __init__(self, port: int, connections: int, rate: float, seconds: float, seed: int) -> None:
+        self._port = port
+        self._connections = connections
+        self._rate = rate
+        self._seconds = seconds
+        self._seed = seed
+        self._counts: dict[str, dict[str, int]] = {}  # by class and result
+        self._refusal_latencies: list[float] = []
+        self._lag_s = 0.0
+        self._in_flight: dict[_FloodConnection, str] = {}
+        self.free: list[_FloodConnection] = []
+
+    def on_response(self, connection: _FloodConnection, class_name: str, due: float, status: int) -> None:
+        """Count a response."""
+        self._in_flight.pop(connection, None)
+        latency = time.perf_counter() - due
         if status == 200:
-            self._count(class_name, "in_time" if took < 0.6 else "late")
+            self._count(class_name, "in_time" if latency < _LATENCY_OBJECTIVE_S else "late")
         else:
             self._count(class_name, "refused" if status in (429, 503) else "failed")
-            self.turned.append(took)
-        if not last:
-            self.free.append(line)
+            self._refusal_latencies.append(latency)
 
-    def lost(self, line: _Line) -> None:
-        class_name = self.open.pop(line, None)
+    def on_connection_lost(self, connection: _FloodConnection) -> None:
+        """Count the request on a connection as lost, and open another connection."""
+        class_name = self._in_flight.pop(connection, None)
         if class_name is not None:
             self._count(class_name, "lost")
-        if line in self.free:
-            self.free.remove(line)
+        if connection in self.free:
+            self.free.remove(connection)
         asyncio.get_running_loop().create_task(self._connect())
 
-    async def _connect(self) -> None:
-        with contextlib.suppress(OSError):
-            await asyncio.get_running_loop().create_connection(lambda: _Line(self), "127.0.0.1", self._port)
-
     async def run(self) -> None:
-        """Play it, and print what came as JSON."""
+        """Run the load and print the results."""
         random = Random(self._seed)
-        await asyncio.gather(*(self._connect() for _ in range(self._lines)))
-        number, due = 0, time.perf_counter()
+        await asyncio.gather(*(self._connect() for _ in range(self._connections)))
+        number = 0
+        due = time.perf_counter()
         end = due + self._seconds
         while due < end:
             now = time.perf_counter()
             if due > now:
-                await asyncio.sleep(min(due - now, 0.002))
+                await asyncio.sleep(min(due - now, _MAX_SLEEP_S))
                 continue
-            self.own_lag = max(self.own_lag, now - due)
-            class_name = "order" if random.random() < 0.37 else "view"
-            self._count(class_name, "asked")
+            self._lag_s = max(self._lag_s, now - due)
             number += 1
-            if self.free:
-                line = self.free.pop()
-                self.open[line] = class_name
-                line.send(
-                    due,
-                    class_name,
-                    b"GET /%s/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %x-%d\r\nRequest-Class: %s\r\n"
-                    b"Request-Timeout-Ms: 1200\r\n\r\n"
-                    % (class_name.encode(), number % 500, self._seed, number, class_name.encode()),
-                )
-            else:
-                self._count(class_name, "no_line")
+            self._send(number, due, "order" if random.random() < _ORDER_RATIO else "view")
             due += random.expovariate(self._rate)
-            if number % 20 == 0:
+            if number % _REQUESTS_PER_PAUSE == 0:
                 await asyncio.sleep(0)
-        await asyncio.sleep(1.5)
-        self.turned.sort()
-        median = self.turned[len(self.turned) // 2] if self.turned else 0.0
-        print(json.dumps({"counts": self.counts, "refusal_p50_ms": median * 1e3, "own_lag": self.own_lag}))
+        await asyncio.sleep(_DRAIN_S)
+        self._print_results()
+
+    def _send(self, number: int, due: float, class_name: str) -> None:
+        self._count(class_name, "offered")
+        if not self.free:
+            self._count(class_name, "no_connection")
+            return
+        connection = self.free.pop()
+        self._in_flight[connection] = class_name
+        name = class_name.encode()
+        message = (
+            b"GET /%s/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %x-%d\r\nRequest-Class: %s\r\n"
+            b"Request-Timeout-Ms: 1200\r\n\r\n"
+        )
+        connection.send(due, class_name, message % (name, number % 500, self._seed, number, name))
+
+    def _print_results(self) -> None:
+        latencies = sorted(self._refusal_latencies)
+        median_s = latencies[len(latencies) // 2] if latencies else 0.0
+        print(json.dumps({"counts": self._counts, "refusal_p50_ms": median_s * 1e3, "lag_s": self._lag_s}))
+
+    def _count(self, class_name: str, result: str) -> None:
+        row = self._counts.setdefault(class_name, {})
+        row[result] = row.get(result, 0) + 1
+
+    async def _connect(self) -> None:
+        loop = asyncio.get_running_loop()
+        with contextlib.suppress(OSError):
+            await loop.create_connection(lambda: _FloodConnection(self), "127.0.0.1", self._port)
 
 
 def main() -> None:
-    """Start one role."""
+    """Run one role."""
     role, *args = sys.argv[1:]
     match role:
-        case "node":
-            uvloop.run(_serve(lambda: Node("closing" in args)))
+        case "upstream" | "node":  # the latter as benchmarks.crowd calls it
+            uvloop.run(_serve(lambda: Upstream("closing" in args)))
         case "relay":
             uvloop.run(_serve(lambda: Relay(int(args[0]))))
         case "discovery":
@@ -275,8 +322,8 @@
         case "submit":
             uvloop.run(_submit(int(args[0]), int(args[1]), int(args[2]), float(args[3])))
         case "flood":
-            port, lines, rate, seconds, seed = args
-            uvloop.run(Flood(int(port), int(lines), float(rate), float(seconds), int(seed)).run())
+            port, connections, rate, seconds, seed = args
+            uvloop.run(Flood(int(port), int(connections), float(rate), float(seconds), int(seed)).run())
         case _:
             raise SystemExit(f"no such role: {role}")
 
