--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -28,7 +28,7 @@
 
 
 class RecordingHandler:
-    """A connection's handler that keeps what it receives, and raises when told to."""
+    """A connection's handler that keeps what it receives, and raises once ``is_faulty`` is set."""
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -123,7 +123,7 @@
                 assert answer.headers["content-length"] == str(len(LONG))
         counters = program.counters()
         assert counters["requests_unanswered"] == 0 and counters["answers_begun"] == 5
-        # Told by the reset, at once, and not by the time for a stream that stands still.
+        # The reset is reported at once, before the timeout of a stalled stream.
         assert counters.get("answers_cut_off", 0) == short
 
 
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -190,13 +190,13 @@
 
 
 async def send_attempt(
-    pool: UpstreamClient, coordinator: RequestCoordinator, name: str, body: list[bytes]
+    client: UpstreamClient, coordinator: RequestCoordinator, name: str, body: list[bytes]
 ) -> AttemptOutcome:
     """Send one attempt of a request of an unsafe class."""
     attempt = coordinator.pick(time.monotonic(), Request(name, "pay", 60.0)).attempts[0]
     done: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
-    task = OutboundRequest(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
-    pool.send_attempt(attempt, task, lambda _, reply: done.set_result(reply.outcome))
+    outbound = OutboundRequest(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
+    client.send_attempt(attempt, outbound, lambda _, response: done.set_result(response.outcome))
     return await done
 
 
@@ -209,9 +209,9 @@
 ) -> None:
     """Nothing was written, so it is retried, and ends as not sent if that does not help."""
 
-    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> int:
+    async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> int:
         monkeypatch.setattr("os.writev", failing_call(os.writev, number, times))
-        assert await send_attempt(pool, coordinator, "j", [b"body"]) is outcome
+        assert await send_attempt(client, coordinator, "j", [b"body"]) is outcome
         return counters["writes_not_begun"]
 
     tries, upstreams = run_client(1, work)
@@ -228,9 +228,9 @@
             raise OSError(errno.ENOBUFS, "no buffers")
         return real(fd, [bytes(pieces[0])[:10]])
 
-    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
+    async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         monkeypatch.setattr("os.writev", writev)
-        assert await send_attempt(pool, coordinator, "j", [b"body"]) is AttemptOutcome.NOT_SENT
+        assert await send_attempt(client, coordinator, "j", [b"body"]) is AttemptOutcome.NOT_SENT
 
     _, upstreams = run_client(1, work)
     assert calls[0] > 3 and not any(message.body for message in upstreams[0].got)
@@ -244,12 +244,12 @@
     if step == "write" and times == 3:
         times, outcome = 1, AttemptOutcome.NOT_SENT  # a health check is not retried: the next one is due soon
 
-    async def work(pool: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
+    async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         if step == "connect":
             break_connect("connect", errno.EADDRNOTAVAIL, times, monkeypatch)
         else:
             monkeypatch.setattr("os.writev", failing_call(os.writev, errno.ENOBUFS, times))
-        assert (await pool.check_health("s-0"))[0] is outcome
+        assert (await client.check_health("s-0"))[0] is outcome
         assert not counters["connects_failed"]
 
     run_client(1, work)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -24,10 +24,18 @@
 from tests.test_endings import Held
 
 
-async def until_idle(pool: UpstreamClient) -> None:
+def coordinator_of(port: int) -> RequestCoordinator:
+    """Return a coordinator whose only upstream, s-0, listens on a port."""
+    coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
+    entry = peers.entry("s-0", port)
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
+    return coordinator
+
+
+async def until_idle(client: UpstreamClient) -> None:
     """Wait until a connection is idle."""
     for _ in range(2000):
-        if pool.connections.idle():
+        if client.connections.idle():
             return
         await asyncio.sleep(0.001)
     raise AssertionError("no connection was kept")
@@ -45,60 +53,55 @@
 )
 def test_health_check(answer: bytes | None, found: tuple[AttemptOutcome, dict[str, float] | None]) -> None:
     upstream = peers.Peer(lambda message: b"!" + answer if answer else None)
-    coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
-    coordinator.update_endpoints(
-        0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", upstream.port)))
-    )
-    pool = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 8)
-    assert asyncio.run(pool.check_health("s-0")) == found
+    coordinator = coordinator_of(upstream.port)
+    client = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 8)
+    assert asyncio.run(client.check_health("s-0")) == found
     assert upstream.got[0].line == "GET /_load HTTP/1.1"
     upstream.close()
-    assert asyncio.run(pool.check_health("s-1")) == (AttemptOutcome.NOT_SENT, None)
+    assert asyncio.run(client.check_health("s-1")) == (AttemptOutcome.NOT_SENT, None)
+
+
+async def send_attempt(
+    client: UpstreamClient, coordinator: RequestCoordinator, number: int
+) -> AttemptOutcome:
+    """Send the first attempt of a request."""
+    attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
+    outcome: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
+    outbound = OutboundRequest(b"GET", b"/view/k", b"%d" % number, None, [], False)
+    client.send_attempt(attempt, outbound, lambda _, response: outcome.set_result(response.outcome))
+    return await outcome
 
 
 def test_health_checks_and_attempts_share_connections() -> None:
     """Neither a health check nor the attempt after it costs a handshake."""
-    from_each: list[int] = []
+    counters = Counters("t")
 
-    async def play() -> dict[AttemptOutcome, int]:
-        coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
-        coordinator.update_endpoints(
-            0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", upstream.port)))
-        )
-        counters = Counters("t")
-        pool = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
-        loop, ended = asyncio.get_running_loop(), []
+    async def run() -> list[AttemptOutcome]:
+        coordinator = coordinator_of(upstream.port)
+        client = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
+        outcomes = []
         for number in range(5):
-            assert (await pool.check_health("s-0"))[0] is AttemptOutcome.OK
-            await until_idle(pool)
-            now = time.monotonic()
-            attempt = coordinator.pick(now, Request(f"j{number}", "view", 60.0)).attempts[0]
-            done: asyncio.Future[AttemptOutcome] = loop.create_future()
-            task = OutboundRequest(b"GET", b"/view/k", b"%d" % number, None, [], False)
-            pool.send_attempt(attempt, task, lambda attempt, reply, done=done: done.set_result(reply.outcome))  # type: ignore[misc]
-            ended.append(await done)
-            await until_idle(pool)
-        from_each.append(counters["upstream_connections"])
-        pool.close_idle("s-0")
-        return {outcome: ended.count(outcome) for outcome in ended}
+            assert (await client.check_health("s-0"))[0] is AttemptOutcome.OK
+            await until_idle(client)
+            outcomes.append(await send_attempt(client, coordinator, number))
+            await until_idle(client)
+        client.close_idle("s-0")
+        return outcomes
 
     upstream = peers.Peer(lambda message: peers.ok(b"inflight=7,util=0.5"))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        assert runner.run(play()) == {AttemptOutcome.OK: 5}
-    assert from_each == [1] and len(upstream.got) == 10
+        assert runner.run(run()) == [AttemptOutcome.OK] * 5
+    assert counters["upstream_connections"] == 1 and len(upstream.got) == 10
     upstream.close()
 
 
 @pytest.mark.parametrize("body", [b"", b"inflight=-1,util=x", b"inflight=1e99", b"{}", b"\xff\x00"])
 def test_health_check_with_absurd_figures_loses_only_its_report(body: bytes) -> None:
     upstream = peers.Peer(lambda message: peers.ok(body))
-    coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
-    coordinator.update_endpoints(
-        0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", upstream.port)))
-    )
+    coordinator = coordinator_of(upstream.port)
     counters = Counters("t")
-    pool = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
-    assert asyncio.run(pool.check_health("s-0")) == (AttemptOutcome.OK, None)
+    client = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
+    assert asyncio.run(client.check_health("s-0")) == (AttemptOutcome.OK, None)
     assert counters["upstream_health_checks_without_report"] == counters["upstream_health_check_ok"] == 1
     upstream.close()
 
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -18,91 +18,97 @@
 from tests import peers
 
 
+def coordinator_of(port: int) -> RequestCoordinator:
+    """Return a coordinator whose only upstream, s-0, listens on a port."""
+    coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
+    entry = peers.entry("s-0", port)
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
+    return coordinator
+
+
 @pytest.mark.parametrize("steps", range(12))
 def test_attempt_cancelled_at_any_step_of_its_connect_leaves_no_connection(steps: int) -> None:
-    """Found outside the bench: given up just as its connection came up, an attempt left it in the books for
-    good. 216 such stood at their bound after 9,600 requests, and nobody was served any more."""
+    """Cancelled just as its connection is established, an attempt must not leave it in the table."""
 
     async def play() -> int:
         server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
-        coordinator.update_endpoints(
-            0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", port)))
-        )
-        pool = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 64)
-        task = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
+        coordinator = coordinator_of(port)
+        client = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 64)
+        outbound = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
         for number in range(60):
             now = time.monotonic()
             attempt = coordinator.pick(now, Request(f"j{number}", "view", 1.0)).attempts[0]
-            pool.send_attempt(attempt, task, lambda attempt, reply: None)
+            client.send_attempt(attempt, outbound, lambda attempt, response: None)
             for _ in range(steps):
                 await asyncio.sleep(0)
             coordinator.client_disconnected(now, attempt.request)
-            pool.cancel_attempt(attempt.request, attempt.number)
+            client.cancel_attempt(attempt.request, attempt.number)
         await asyncio.sleep(0.01)
-        pool.close_idle("s-0")
+        client.close_idle("s-0")
         await asyncio.sleep(0.01)
         server.close()
-        return pool.open
+        return client.open
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         assert runner.run(play()) == 0
 
 
+class LateUpstream:
+    """An upstream that responds to its second request with late bytes on the first connection before."""
+
+    def __init__(self, late: bytes) -> None:
+        self._late = late
+        self._writers: list[asyncio.StreamWriter] = []
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self._writers.append(writer)
+        while head := await reader.readuntil(b"\r\n\r\n"):
+            if b"/first" in head:
+                writer.write(peers.ok(b"first"))
+            else:
+                self._writers[0].write(self._late)
+                await asyncio.sleep(0.002)
+                writer.write(peers.ok(b"next"))
+
+
+async def send_two_attempts(late: bytes) -> tuple[list[UpstreamResponse], Counters, int]:
+    """Send a second attempt with the end of the first. Return the responses and the open connections."""
+    server = await asyncio.start_server(LateUpstream(late).serve, "127.0.0.1", 0)
+    coordinator = coordinator_of(server.sockets[0].getsockname()[1])
+    counters = Counters("t")
+    client = UpstreamClient(coordinator, counters, 5.0, 30.0, 64)
+    responses: list[UpstreamResponse] = []
+    both_ended = asyncio.Event()
+
+    def start(number: int, target: bytes) -> None:
+        attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
+        outbound = OutboundRequest(b"GET", target, b"%d" % number, None, [], False)
+        client.send_attempt(attempt, outbound, on_ended)
+
+    def on_ended(attempt: object, response: UpstreamResponse) -> None:
+        responses.append(response)
+        if len(responses) == 1:
+            start(2, b"/next")
+        else:
+            both_ended.set()
+
+    start(1, b"/first")
+    await both_ended.wait()
+    while client.connections.idle() < len(client.connections.table):
+        await asyncio.sleep(0.001)
+    server.close()
+    return responses, counters, client.open
+
+
 @pytest.mark.parametrize("stray", [peers.ok(b"first"), b"HTTP/1.1 20", b"\r\n", b""])
 def test_late_second_response_is_not_taken_for_the_next_attempts(
     monkeypatch: pytest.MonkeyPatch, stray: bytes
 ) -> None:
-    """The next attempt starts in the moment of the answer before, and the upstream writes once more on that
-    connection before it answers anything else: what it writes belongs to nobody. The rest is made longer
-    than all that together takes on a machine that is busy."""
+    """The quiet period is longer than the exchanges take on a busy machine."""
     monkeypatch.setattr("indigokeel.net.upstream.delayed_release.QUIET_PERIOD_S", 2.0)
-
-    async def play() -> tuple[list[UpstreamResponse], Counters, int]:
-        loop = asyncio.get_running_loop()
-        writers: list[asyncio.StreamWriter] = []
-
-        async def upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writers.append(writer)
-            while head := await reader.readuntil(b"\r\n\r\n"):
-                if b"/first" in head:
-                    writer.write(peers.ok(b"first"))
-                else:
-                    writers[0].write(stray)
-                    await asyncio.sleep(0.002)
-                    writer.write(peers.ok(b"next"))
-
-        server = await asyncio.start_server(upstream, "127.0.0.1", 0)
-        port = server.sockets[0].getsockname()[1]
-        coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
-        coordinator.update_endpoints(
-            0.0, parse_endpoint_list(peers.parse_endpoint_list(peers.entry("s-0", port)))
-        )
-        counters = Counters("t")
-        pool = UpstreamClient(coordinator, counters, 5.0, 30.0, 64)
-        replies: list[UpstreamResponse] = []
-        over: asyncio.Future[None] = loop.create_future()
-
-        def start(number: int, target: bytes) -> None:
-            attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
-            pool.send_attempt(attempt, OutboundRequest(b"GET", target, b"%d" % number, None, [], False), done)
-
-        def done(attempt: object, reply: UpstreamResponse) -> None:
-            replies.append(reply)
-            if len(replies) == 1:
-                start(2, b"/next")
-            else:
-                over.set_result(None)
-
-        start(1, b"/first")
-        await over
-        while pool.connections.idle() < len(pool.connections.table):
-            await asyncio.sleep(0.001)
-        server.close()
-        return replies, counters, pool.open
-
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        replies, counters, left = runner.run(play())
-    assert [reply.body for reply in replies] == [[b"first"], [b"next"]]
+        responses, counters, left = runner.run(send_two_attempts(stray))
+    assert [response.body for response in responses] == [[b"first"], [b"next"]]
     assert left == (1 if stray else 2) and counters["connection_faults"] == 0
--- a/tests/unit/net/test_streams.py
+++ b/tests/unit/net/test_streams.py
@@ -8,46 +8,56 @@
 
 
 class StreamEnds:
-    """Both ends: a source that can be told to wait, a sink that can be full, a reader."""
+    """The source, the sink and the reader of a stream."""
 
     def __init__(self) -> None:
-        self.paused, self.full, self.written, self.ended = False, False, b"", ""
-        self.gone = False  # the client
+        self.is_paused = False
+        self.is_full = False
+        self.is_disconnected = False
+        self.written = b""
+        self.ended = ""
 
     def pause(self) -> None:
-        self.paused = True
+        """Stop reading (Source)."""
+        self.is_paused = True
 
     def resume(self) -> None:
-        self.paused = False
+        """Read again (Source)."""
+        self.is_paused = False
 
     def has_disconnected(self) -> bool:
-        return self.gone
+        """Return whether the client has disconnected (RequestStreamSource)."""
+        return self.is_disconnected
 
     def is_writable(self) -> bool:
-        return not self.full
+        """Return whether more can be written (Sink)."""
+        return not self.is_full
 
-    def write(self, pieces: list[bytes]) -> None:
-        self.written += b"".join(pieces)
+    def write(self, chunks: list[bytes]) -> None:
+        """Keep a part of the body (Sink)."""
+        self.written += b"".join(chunks)
 
     def body(self, pieces: list[bytes]) -> None:
+        """Keep a part of the body (Reader)."""
         self.write(pieces)
 
     def body_ended(self, whole: bool) -> None:
-        self.ended = "whole" if whole else "broken"
+        """Keep how the body ended (Reader)."""
+        self.ended = "complete" if whole else "truncated"
 
 
 def test_request_stream_pauses_its_source_while_its_sink_is_full() -> None:
     source, sink = StreamEnds(), StreamEnds()
     request_stream = RequestStream(source, -1, [b"ab"])
     request_stream.attach(sink)
-    sink.full = True
+    sink.is_full = True
     request_stream.add(b"x" * (64 * 1024))
-    assert sink.written == b"2\r\nab\r\n" and not source.paused
+    assert sink.written == b"2\r\nab\r\n" and not source.is_paused
     request_stream.add(b"y")
-    assert source.paused
-    sink.full = False
+    assert source.is_paused
+    sink.is_full = False
     request_stream.flush()
-    assert not source.paused and not request_stream.is_fully_written
+    assert not source.is_paused and not request_stream.is_fully_written
     request_stream.end()
     assert request_stream.is_fully_written and sink.written.endswith(b"y\r\n0\r\n\r\n")
 
@@ -56,11 +66,11 @@
     source = StreamEnds()
     request_stream = RequestStream(source, 1 << 20, [])
     request_stream.add(b"x" * 70_000)
-    assert source.paused
+    assert source.is_paused
     request_stream.discard()
-    assert not source.paused
+    assert not source.is_paused
     request_stream.add(b"x" * 70_000)
-    assert not source.paused and request_stream.buffered() == []
+    assert not source.is_paused and request_stream.buffered() == []
 
 
 @pytest.mark.parametrize("length", [4, -1])
@@ -68,7 +78,8 @@
     source, sink = StreamEnds(), StreamEnds()
     request_stream = RequestStream(source, length, [b"ab"])
     request_stream.attach(sink)
-    before, source.gone = sink.written, True
+    before = sink.written
+    source.is_disconnected = True
     request_stream.add(b"c")
     request_stream.add(b"d")
     request_stream.end()
@@ -84,7 +95,7 @@
     stream.attach(reader)
     stream.feed([b"he", b"llo"])
     stream.pause()
-    assert source.paused
+    assert source.is_paused
     stream.end(True)
     stream.pause()
-    assert not source.paused and (reader.written, reader.ended) == (b"hello", "whole")
+    assert not source.is_paused and (reader.written, reader.ended) == (b"hello", "complete")
