--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -283,4 +283,4 @@
         counts, log = program.counters(), program.log.read_text()
     assert codes == [200] * 200 and sum(len(upstream.got) for upstream in upstreams) == 200
     assert not counts.get("circuit_breakers_opened") and not counts.get("connects_failed")
-    assert "quarantine" not in log
+    assert "quarantine" not in log and "eject" not in log
