--- /dev/null
+++ b/tests/test_upstream_client.py
@@ -0,0 +1,114 @@
+"""The upstream client on real sockets: attempts, cancels and late bytes."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import pytest
+import uvloop
+
+from indigokeel.config import decode_settings
+from indigokeel.endpoints.endpoint_list import parse_endpoint_list
+from indigokeel.metrics import Counters
+from indigokeel.net.messages import OutboundRequest, UpstreamResponse
+from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.requests.coordinator import RequestCoordinator
+from indigokeel.requests.effects import Request
+from tests import peers
+
+
+def coordinator_of(port: int) -> RequestCoordinator:
+    """Return a coordinator whose only upstream, s-0, listens on a port."""
+    coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
+    entry = peers.entry("s-0", port)
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
+    return coordinator
+
+
+@pytest.mark.parametrize("steps", range(12))
+def test_attempt_cancelled_at_any_step_of_its_connect_leaves_no_connection(steps: int) -> None:
+    """Cancelled just as its connection is established, an attempt must not leave it in the table."""
+
+    async def play() -> int:
+        server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        coordinator = coordinator_of(port)
+        client = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 64)
+        outbound = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
+        for number in range(60):
+            now = time.monotonic()
+            attempt = coordinator.pick(now, Request(f"j{number}", "view", 1.0)).attempts[0]
+            client.send_attempt(attempt, outbound, lambda attempt, response: None)
+            for _ in range(steps):
+                await asyncio.sleep(0)
+            coordinator.client_disconnected(now, attempt.request)
+            client.cancel_attempt(attempt.request, attempt.number)
+        await asyncio.sleep(0.01)
+        client.close_idle("s-0")
+        await asyncio.sleep(0.01)
+        server.close()
+        return client.open
+
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        assert runner.run(play()) == 0
+
+
+class LateUpstream:
+    """An upstream that responds to its second request with late bytes on the first connection before."""
+
+    def __init__(self, late: bytes) -> None:
+        self._late = late
+        self._writers: list[asyncio.StreamWriter] = []
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
+        self._writers.append(writer)
+        while head := await reader.readuntil(b"\r\n\r\n"):
+            if b"/first" in head:
+                writer.write(peers.ok(b"first"))
+            else:
+                self._writers[0].write(self._late)
+                await asyncio.sleep(0.002)
+                writer.write(peers.ok(b"next"))
+
+
+async def send_two_attempts(late: bytes) -> tuple[list[UpstreamResponse], Counters, int]:
+    """Send a second attempt with the end of the first. Return the responses and the open connections."""
+    server = await asyncio.start_server(LateUpstream(late).serve, "127.0.0.1", 0)
+    coordinator = coordinator_of(server.sockets[0].getsockname()[1])
+    counters = Counters("t")
+    client = UpstreamClient(coordinator, counters, 5.0, 30.0, 64)
+    responses: list[UpstreamResponse] = []
+    both_ended = asyncio.Event()
+
+    def start(number: int, target: bytes) -> None:
+        attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
+        outbound = OutboundRequest(b"GET", target, b"%d" % number, None, [], False)
+        client.send_attempt(attempt, outbound, on_ended)
+
+    def on_ended(attempt: object, response: UpstreamResponse) -> None:
+        responses.append(response)
+        if len(responses) == 1:
+            start(2, b"/next")
+        else:
+            both_ended.set()
+
+    start(1, b"/first")
+    await both_ended.wait()
+    while client.connections.idle() < len(client.connections.table):
+        await asyncio.sleep(0.001)
+    server.close()
+    return responses, counters, client.open
+
+
+@pytest.mark.parametrize("stray", [peers.ok(b"first"), b"HTTP/1.1 20", b"\r\n", b""])
+def test_late_second_response_is_not_taken_for_the_next_attempts(
+    monkeypatch: pytest.MonkeyPatch, stray: bytes
+) -> None:
+    """The quiet period is longer than the exchanges take on a busy machine."""
+    monkeypatch.setattr("indigokeel.net.upstream.delayed_release.QUIET_PERIOD_S", 2.0)
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        responses, counters, left = runner.run(send_two_attempts(stray))
+    assert [response.body for response in responses] == [[b"first"], [b"next"]]
+    assert left == (1 if stray else 2) and counters["connection_faults"] == 0
