--- a/indigokeel/net/downstream/client_timeouts.py
+++ b/indigokeel/net/downstream/client_timeouts.py
@@ -1,32 +1,87 @@
-"""How long a client connection may wait for what it waits for. No I/O, no clock."""
+"""How long a client connection may wait for its peer. No I/O; the clock is passed in."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import Enum
 
-# s from a message's first byte (of the first one: from the connection) to its last, and bytes of a body for
-# which it gets a second more.
-_MESSAGE_TIME = 2.5
-_PACE = 32_000
-# s after which a connection with no open request is closed, also one that never said anything. Guards against
-# those who ask once and stay for good: they use up what descriptors the others have, here and there.
-_IDLE = 2.2
-_ANSWER_TIME = 5.0  # s for more of an answer to be taken ...
-_STREAM_TIME = 10.0  # ... and, of one that passes in pieces, also to come
-# s from the end of the own side of a connection to its close, where the peer does not close it first.
-_LINGER = 1.0
-
-
-class Awaited(Enum):
-    """What a client connection waits for."""
-
-    CLIENT_TAKES_ANSWER = _ANSWER_TIME
-    STREAM_GOES_ON = _STREAM_TIME
-    CLIENT_CLOSES = _LINGER
-    REST_OF_MESSAGE = _MESSAGE_TIME
-    NEXT_REQUEST = _IDLE
-
-    def overdue(self, waited: float, body_size: int) -> bool:
-        """Whether it waited too long, in s; ``body_size``: bytes of the message's body that have come."""
-        more = body_size / _PACE if self is Awaited.REST_OF_MESSAGE else 0.0
-        return waited > self.value + more
+_REQUEST_TIMEOUT_S = 2.5  # from a request's first byte (on a new connection: from the accept) to its last
+_MIN_BODY_BYTES_PER_S = 32_000  # a body extends the request timeout at this rate
+# Connections without a request would take up the descriptors that other clients need.
+_KEEPALIVE_TIMEOUT_S = 2.2
+_WRITE_TIMEOUT_S = 5.0  # for the client to accept more of a response
+_STREAM_TIMEOUT_S = 10.0  # for the next chunk of a streamed response to arrive and be accepted
+_LINGER_TIMEOUT_S = 1.0  # for the peer to close after this side has ended
+
+
+class AwaitedEvent(Enum):
+    """What a client connection waits for; the value is the timeout in seconds."""
+
+    RESPONSE_ACCEPTED = _WRITE_TIMEOUT_S
+    RESPONSE_STREAM_CHUNK = _STREAM_TIMEOUT_S
+    PEER_CLOSE = _LINGER_TIMEOUT_S
+    REST_OF_REQUEST = _REQUEST_TIMEOUT_S
+    NEXT_REQUEST = _KEEPALIVE_TIMEOUT_S
+
+
+@dataclass(slots=True)
+class ConnectionActivity:
+    """What a connection is doing, as far as it decides what is awaited."""
+
+    streaming_response: bool
+    unwritten_bytes: int  # of output that the client has not accepted
+    ended: bool  # this side has written its last byte
+    receiving_request: bool  # a request has been received in part, or its body is being streamed
+    reading_paused: bool  # by this side
+    idle: bool  # nothing that was read awaits a response
+
+    def awaited_event(self) -> AwaitedEvent | None:
+        """Return what the connection waits for, or None if that is on this side."""
+        if self.streaming_response:
+            return AwaitedEvent.RESPONSE_STREAM_CHUNK
+        if self.unwritten_bytes:
+            return AwaitedEvent.RESPONSE_ACCEPTED
+        if self.ended:
+            return AwaitedEvent.PEER_CLOSE
+        if self.receiving_request:
+            return None if self.reading_paused else AwaitedEvent.REST_OF_REQUEST
+        return AwaitedEvent.NEXT_REQUEST if self.idle else None
+
+
+class ClientTimeouts:
+    """Track how long a connection has waited for its peer."""
+
+    __slots__ = ("_unwritten_bytes", "_waiting_since")
+
+    def __init__(self) -> None:
+        self._waiting_since = 0.0
+        self._unwritten_bytes = 0  # as of the last check
+
+    def restart(self, now: float) -> None:
+        """Start to wait, in monotonic seconds."""
+        self._waiting_since = now
+
+    def exclude_pause(self, paused_at: float, now: float) -> None:
+        """Don't count the time since ``paused_at``, when this side stopped reading."""
+        self._waiting_since += now - max(paused_at, self._waiting_since)
+
+    def elapsed_s(self, now: float) -> float:
+        """Return the seconds waited so far."""
+        return now - self._waiting_since
+
+    def check(self, now: float, activity: ConnectionActivity, body_bytes: int) -> AwaitedEvent | None:
+        """Return the event that is overdue, or None; ``body_bytes`` of the request have been received.
+
+        The wait starts anew when the client has accepted some of the output since the last check.
+        """
+        if activity.unwritten_bytes != self._unwritten_bytes:
+            self._unwritten_bytes = activity.unwritten_bytes
+            if activity.unwritten_bytes:
+                self._waiting_since = now
+        awaited = activity.awaited_event()
+        if awaited is None:
+            return None
+        timeout_s: float = awaited.value
+        if awaited is AwaitedEvent.REST_OF_REQUEST:
+            timeout_s += body_bytes / _MIN_BODY_BYTES_PER_S
+        return awaited if now - self._waiting_since > timeout_s else None
--- /dev/null
+++ b/indigokeel/net/downstream/current_exchange.py
@@ -0,0 +1,120 @@
+"""The request of a client connection that is being served, and its response."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Generic, Protocol, TypeVar
+
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_timeouts import ClientTimeouts
+from indigokeel.net.downstream.request_handler import FinalResponse, RequestHandler
+from indigokeel.net.downstream.request_input import RequestInput
+from indigokeel.net.downstream.response_writer import ResponseWriter
+from indigokeel.net.http import RequestError
+from indigokeel.net.streams import RequestStream
+
+
+class Connection(Protocol):
+    """The connection that the exchange takes place on."""
+
+    def on_finished(self) -> None:
+        """End the connection gracefully: nothing more is owed on it."""
+
+
+ConnectionT = TypeVar("ConnectionT", bound=Connection)
+
+
+class CurrentExchange(Generic[ConnectionT]):
+    """Own the state of the exchange in service: its request's id, its response, what happens after it."""
+
+    __slots__ = (
+        "_connection",
+        "_counters",
+        "_handler",
+        "_input",
+        "_timeouts",
+        "_writer",
+        "busy",
+        "request_id",
+    )
+
+    def __init__(
+        self,
+        connection: Callable[[], ConnectionT],
+        handler: RequestHandler[ConnectionT],
+        counters: Counters,
+        request_input: RequestInput,
+        writer: ResponseWriter,
+        timeouts: ClientTimeouts,
+    ) -> None:
+        self._connection = connection
+        self._handler = handler
+        self._counters = counters
+        self._input = request_input
+        self._writer = writer
+        self._timeouts = timeouts
+        self.busy = False  # a request is being served or responded to
+        self.request_id = ""  # of the request that the sidecar serves, until its response
+
+    def begin(self, keep_alive: bool) -> None:
+        """Start an exchange, after which the connection persists if the client wants it so."""
+        self.busy = True
+        self._writer.keep_alive = keep_alive
+
+    def respond(self, final: FinalResponse) -> None:
+        """Write the response of the sidecar."""
+        self._counters.add("answers_written")
+        self._input.discard_active_stream()
+        self._decide_keep_alive()
+        if self._writer.write_response(final):
+            self.on_written()
+
+    def respond_error(self, error: RequestError) -> None:
+        """Write the response to a request that is well framed and cannot be served."""
+        self._counters.add("messages_malformed")
+        self._input.flow.count_error()
+        self._input.discard_active_stream()
+        self._decide_keep_alive()
+        self._writer.write_error(error)
+        self.on_written()
+
+    def _decide_keep_alive(self) -> None:
+        """Close the connection after this response if the sidecar wants it so and no request follows."""
+        if (self._handler.closing or self._handler.is_crowded()) and not self._input.has_more_requests():
+            self._writer.keep_alive = False
+
+    def on_written(self) -> None:
+        """Note that the response is written, and end the connection if it does not persist."""
+        self.busy = False
+        if self._input.active_stream() is not None:
+            return  # the rest of the body is read first: a close would reset it
+        self._timeouts.restart(time.monotonic())
+        if not self._writer.keep_alive and not self._input.is_discarding_body():
+            self._connection().on_finished()
+
+    # --- the request's body ---------------------------------------------------------------------------
+
+    def on_body_discarded(self) -> None:
+        """End a connection that was kept open only to read the rest of a body."""
+        if not self._writer.keep_alive and not self.busy and self._input.pipeline.first() is None:
+            self._connection().on_finished()
+
+    def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
+        """Note the last byte of the streamed body of the request that is being served."""
+        self._writer.keep_alive = self._writer.keep_alive and keep_alive
+        request_stream.end()
+        if self.request_id:
+            self._handler.request_body_received(self.request_id)
+        elif not self._writer.is_streaming() and not self._writer.keep_alive:
+            self._connection().on_finished()
+
+    def release_request(self) -> None:
+        """Give up the request that is being served, and the bodies on their way in both directions."""
+        self._input.take_streamed_request()
+        request_id = self.request_id
+        self.request_id = ""
+        if request_id:
+            self._handler.client_disconnected(request_id)
+        self._input.drop_request_stream()
+        self._writer.abandon_stream()
--- a/indigokeel/net/downstream/flow_control.py
+++ b/indigokeel/net/downstream/flow_control.py
@@ -1,5 +1,4 @@
-"""When one client connection is read and parsed, and when it is left to wait: backpressure, which is no error
-of the client's."""
+"""When one client connection is read and parsed, and when reading pauses (backpressure)."""
 
 from __future__ import annotations
 
@@ -8,140 +7,175 @@
 from typing import Protocol
 
 from indigokeel.net import http
-from indigokeel.net.downstream.pipeline import MOST_AHEAD, Pipeline
-from indigokeel.net.downstream.request_parser import RequestReader
+from indigokeel.net.downstream.client_timeouts import ClientTimeouts
+from indigokeel.net.downstream.pipeline import MAX_QUEUED_REQUESTS, Pipeline
+from indigokeel.net.downstream.request_parser import RequestParser
 from indigokeel.net.http import RequestError
 
-# Errors in a row after which a connection is left alone for a moment, and for how long, in s. Guards against
-# the client that sends the same again as soon as it is turned away, on a connection that stays open.
-_ERRORS_IN_A_ROW = 16
-_ERROR_PAUSE = 0.01
+# A client that repeats an invalid request as soon as it has the response would take up the loop.
+_ERRORS_PER_PAUSE = 16
+_ERROR_PAUSE_S = 0.01
 
 
-class Owner(Protocol):
-    """The session whose connection it is."""
+class FlowEvents(Protocol):
+    """Receives what reading a connection leads to."""
 
     def process_pipeline(self) -> None:
-        """Answer what was read, and call ``regulate``."""
+        """Serve the requests that were parsed, then call ``ReadFlow.regulate``."""
 
-    def fail(self, error: RequestError) -> None:
-        """The connection cannot be read any further."""
+    def on_read_error(self, error: RequestError) -> None:
+        """Handle broken framing: the connection cannot be parsed any further."""
 
-    def fault(self, error: Exception) -> None:
-        """Something of this side failed while the connection was read."""
+    def on_read_fault(self, error: Exception) -> None:
+        """Handle an internal error while the connection was parsed."""
 
-    def waited_since(self, paused: float) -> None:
-        """It is read again, and was not since ``paused``, which was no fault of the client's."""
+
+class RequestBodyGate(Protocol):
+    """Tells whether a streamed request body holds up the parsing of what is behind it."""
+
+    def is_blocked(self) -> bool:
+        """Return whether the body has to be forwarded, or its request started, before more is parsed."""
 
 
 class ReadFlow:
-    """The flow of one connection's bytes into its queue of requests."""
+    """Regulate the flow of one connection's bytes into its pipeline of requests."""
 
     __slots__ = (
-        "_backlog_since", "_errors", "_owner", "_pipeline", "_reader", "_scheduled", "_timer", "_transport",
-        "arrived", "grew", "paused", "resting", "stopped", "upload_full", "upload_waits",
-    )  # fmt: skip
-
-    def __init__(self, owner: Owner, reader: RequestReader, pipeline: Pipeline) -> None:
-        self._owner, self._reader, self._pipeline = owner, reader, pipeline
+        "_backlog_since",
+        "_body_gate",
+        "_consecutive_errors",
+        "_events",
+        "_parser",
+        "_pipeline",
+        "_scheduled",
+        "_timeouts",
+        "_timer",
+        "_transport",
+        "error_pause",
+        "last_read_at",
+        "paused_at",
+        "stopped",
+    )
+
+    def __init__(
+        self,
+        events: FlowEvents,
+        parser: RequestParser,
+        pipeline: Pipeline,
+        body_gate: RequestBodyGate,
+        timeouts: ClientTimeouts,
+    ) -> None:
+        self._events = events
+        self._parser = parser
+        self._pipeline = pipeline
+        self._body_gate = body_gate
+        self._timeouts = timeouts
         self._transport: asyncio.Transport
-        self._scheduled = False  # to parse more, or at it
-        self._backlog_since = 0.0  # since when bytes may have waited that are read next
-        self._errors = 0  # told in a row
-        self._timer: asyncio.TimerHandle | None = None  # until it is not left alone any more
-        self.arrived = 0.0  # when what was read last may have come to this machine
-        self.grew = 0.0  # when anything was read last
-        self.paused = 0.0  # since when nothing is read, or 0
-        self.resting = False  # left alone after many errors
-        self.upload_full = False  # what came of a long body has to go on first
-        self.upload_waits = False  # a long body's request has to be taken first
-        self.stopped = False  # for good: nothing more is parsed
+        self._scheduled = False  # parsing is under way or scheduled
+        self._backlog_since = 0.0  # monotonic seconds since when the next bytes may have waited, or 0.0
+        self._consecutive_errors = 0
+        self._timer: asyncio.TimerHandle | None = None  # ends the pause after errors
+        self.error_pause = False
+        self.last_read_at = 0.0  # monotonic seconds
+        self.paused_at = 0.0  # monotonic seconds since when nothing is read, or 0.0
+        self.stopped = False  # nothing more is parsed, for good
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """The connection is up."""
+        """Start to regulate a transport."""
         self._transport = transport
 
-    def received(self) -> None:
-        """Bytes were read now."""
-        self.grew = time.monotonic()
-        self.arrived, self._backlog_since = self._backlog_since or self.grew, 0.0
+    def on_read(self, now: float) -> float:
+        """Note that bytes were read; return the monotonic seconds at which they may have arrived."""
+        arrived_at = self._backlog_since or now
+        self._backlog_since = 0.0
+        self.last_read_at = now
+        return arrived_at
 
     def stop(self) -> None:
-        """Nothing that is not parsed yet is taken any more."""
+        """Drop what is not parsed yet, and parse nothing more."""
         self.stopped = True
-        self._reader.stop()
+        self._parser.stop()
         self._pipeline.drop_bytes()
 
-    def lost(self) -> None:
-        """The connection is gone, and its owner with it."""
+    def close(self) -> None:
+        """Stop, and release the timer."""
         self.stop()
         if self._timer is not None:
             self._timer.cancel()
 
-    def advance(self) -> None:
-        """Parse what was read, and have it answered: in one turn of the loop no more than what fills the
-        queue, so that no client has the loop to itself."""
-        if self.stopped:
-            return
+    def parse(self) -> None:
+        """Parse what was read, up to as many requests as the pipeline holds.
+
+        The bound keeps one client from occupying the loop.
+        """
         self._scheduled = True
-        queued = self._pipeline.queued
+        queued_before = self._pipeline.total_queued
         try:
-            while self._pipeline.unparsed() and not self._held_up():
-                self._reader.feed(self._pipeline.next_slice(self._reader.body_left()))
-                if self._pipeline.queued - queued >= MOST_AHEAD:
+            while self._pipeline.has_unparsed_bytes() and not self._is_blocked():
+                self._parser.feed(self._pipeline.next_slice(self._parser.remaining_body_bytes()))
+                if self._pipeline.total_queued - queued_before >= MAX_QUEUED_REQUESTS:
                     break
         except RequestError as error:
-            self._owner.fail(error)
-        except Exception as error:  # a fault costs this connection and no other
-            self._owner.fault(error)
+            self._events.on_read_error(error)
+        except Exception as error:  # an internal error must not affect other connections
+            self._events.on_read_fault(error)
         self._scheduled = False
-        self._owner.process_pipeline()
 
-    def _held_up(self) -> bool:
-        """Whether what was read has to be dealt with before more is."""
-        return self.upload_full or self.upload_waits or self.resting or self._pipeline.full()
+    def _parse_scheduled(self) -> None:
+        """Parse in a later turn of the loop, and serve what was found."""
+        if not self.stopped:
+            self.parse()
+            self._events.process_pipeline()
+
+    def _is_blocked(self) -> bool:
+        """Return whether parsed input has to be dealt with before more is parsed."""
+        return self._body_gate.is_blocked() or self.error_pause or self._pipeline.is_full()
 
     def regulate(self) -> None:
-        """Read on, parse on, or wait, as what was read allows."""
+        """Read, parse or pause, as the pipeline allows."""
         if self.stopped:
             return
-        waits = self._held_up()
-        if waits or self._pipeline.unparsed():
+        blocked = self._is_blocked()
+        if blocked or self._pipeline.has_unparsed_bytes():
             self.pause()
-            if not waits and not self._scheduled:
+            if not blocked and not self._scheduled:
                 self._scheduled = True
-                asyncio.get_running_loop().call_soon(self.advance)
-        elif self.paused:
-            self._owner.waited_since(self.paused)
-            # Guards against a deadline passed on that is longer than what the client has left: the request
-            # may have come while nothing was read.
-            if http.readable(self._transport.get_extra_info("socket").fileno()):
-                self._backlog_since = self.paused
-            self.resume()
+                asyncio.get_running_loop().call_soon(self._parse_scheduled)
+        elif self.paused_at:
+            self._end_pause()
+
+    def _end_pause(self) -> None:
+        """Read again, without counting the pause as the client's time."""
+        self._timeouts.exclude_pause(self.paused_at, time.monotonic())
+        # A request that arrived during the pause has had its deadline running since then.
+        if http.readable(self._transport.get_extra_info("socket").fileno()):
+            self._backlog_since = self.paused_at
+        self.resume()
 
     def pause(self) -> None:
-        """Read nothing for now."""
-        if not self.paused and not self._transport.is_closing():
-            self.paused = time.monotonic()
+        """Stop to read for now."""
+        if not self.paused_at and not self._transport.is_closing():
+            self.paused_at = time.monotonic()
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on, whatever held it up."""
-        self.paused = 0.0
+        """Read again, whatever the reason for the pause."""
+        self.paused_at = 0.0
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
-    def took(self) -> None:
-        """A request is served."""
-        self._errors = 0
-
-    def told_error(self) -> None:
-        """A request got its error, and the connection stays open."""
-        self._errors += 1
-        if self._errors % _ERRORS_IN_A_ROW == 0:
-            self.resting = True
-            self._timer = asyncio.get_running_loop().call_later(_ERROR_PAUSE, self._rested)
-
-    def _rested(self) -> None:
-        self.resting = False
-        self._owner.process_pipeline()
+    def reset_errors(self) -> None:
+        """Note that a request was accepted."""
+        self._consecutive_errors = 0
+
+    def count_error(self) -> None:
+        """Note that an error response was written, and pause after many in a row."""
+        self._consecutive_errors += 1
+        if self._consecutive_errors % _ERRORS_PER_PAUSE == 0:
+            self.error_pause = True
+            self._timer = asyncio.get_running_loop().call_later(_ERROR_PAUSE_S, self._end_error_pause)
+
+    def _end_error_pause(self) -> None:
+        """Serve the connection again."""
+        self.error_pause = False
+        self._events.process_pipeline()
--- a/indigokeel/net/downstream/listener.py
+++ b/indigokeel/net/downstream/listener.py
@@ -1,8 +1,8 @@
-"""The listening socket at which clients connect, read here and not by the event loop's own server.
+"""The listening socket for clients, on which the sidecar accepts itself.
 
-libuv's server closes the connections that wait, unread, where ``accept`` finds no descriptor. Here no error
-of ``accept`` closes a connection or the listener: what concerns one connection is passed over, and where
-resources are short the connections wait in the backlog of the system until there is room.
+libuv's server closes waiting connections if ``accept`` finds no descriptor. Here no error of ``accept``
+closes a connection or the listener: one that concerns a single connection is skipped, and while resources are
+short new connections wait in the backlog of the system.
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 import socket
 from collections.abc import Callable, Coroutine
 from enum import Enum
-from typing import Any
 
 from indigokeel.metrics import Counters
 from indigokeel.net.errors import Meaning, Step, meaning
 
-BACKLOG = 512  # connections that the system may hold for this process before it accepts them
-BATCH = 32  # calls of ``accept`` in one turn of the loop: some 2 ms of its time
-PAUSE_LEAST, PAUSE_MOST = 0.005, 0.1  # s without a call after one that failed for want of resources; doubled
-_DRAIN_TIME = 0.2  # s in which the backlog is emptied before the socket is closed
-_LOG_EVERY = 5.0  # s between two log lines about errors; all of them are counted
+BACKLOG = 512  # connections that the system queues before they are accepted
+MAX_ACCEPTS_PER_TURN = 32  # of the event loop
+MIN_PAUSE_S = 0.005  # after an accept that failed for lack of resources; doubled with each failure
+MAX_PAUSE_S = 0.1
+_MAX_DRAIN_S = 0.2  # in which the backlog is emptied before the socket is closed
+_LOG_INTERVAL_S = 5.0  # between two log lines about errors; all errors are counted
 
 
-class _Batch(Enum):
+class _BatchResult(Enum):
     """How a batch of calls of ``accept`` ended."""
 
-    EMPTY = "nobody waits any more"
-    FULL = "more may wait"
-    FAILED = "another call now would fail too"
+    EMPTY = "no connection is waiting"
+    FULL = "more connections may be waiting"
+    FAILED = "another call now would fail as well"
 
 
 class ClientListener:
-    """Accepts client connections on a socket that is bound, one protocol object for each."""
+    """Accept client connections on a bound socket, with one protocol object for each."""
 
     def __init__(
         self,
@@ -42,29 +42,33 @@
         counters: Counters,
         make_room: Callable[[], None] | None = None,
     ) -> None:
-        """``make_room`` is called at each pause for want of resources: the owner may close what is idle."""
-        self._loop, self._listener = loop, listener
-        self._make_protocol, self._make_room = make_protocol, make_room
+        """``make_room`` is called at each pause for lack of resources, to close idle connections."""
+        self._loop = loop
+        self._listener = listener
+        self._make_protocol = make_protocol
+        self._make_room = make_room
         self._counters = counters
-        self._pause = PAUSE_LEAST
-        self._timer: asyncio.TimerHandle | None = None  # ends the pause
-        self._log_from = loop.time()
-        # Accepted connections whose ``connection_made`` is still to be called.
-        self._opening: dict[asyncio.Future[Any], Coroutine[Any, Any, Any]] = {}
+        self._next_pause_s = MIN_PAUSE_S
+        self._pause_timer: asyncio.TimerHandle | None = None
+        self._next_log_at = loop.time()
+        # Accepted connections whose ``connection_made`` has not been called yet.
+        self._opening: dict[asyncio.Future[object], Coroutine[asyncio.Future[object], None, object]] = {}
 
     def open(self) -> None:
-        """Begin to listen and to accept."""
+        """Start to listen and to accept."""
         self._listener.setblocking(False)
         self._listener.listen(BACKLOG)
         self._watch()
 
     async def close(self, drain: bool) -> None:
-        """Stop accepting and close the socket; connections that were accepted stay, and ``connection_made``
-        was called for each when this returns. ``drain``: those that wait in the backlog are accepted first,
-        for the system resets them otherwise. Not where another process accepts on the same socket."""
+        """Stop accepting and close the socket, once ``connection_made`` was called for each connection.
+
+        ``drain`` accepts the connections in the backlog first, which the system would reset; it must be False
+        if another process accepts on the same socket.
+        """
         self._loop.remove_reader(self._listener.fileno())
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
         if drain:
             await self._drain()
         self._listener.close()
@@ -72,91 +76,95 @@
             await asyncio.sleep(0)
 
     def _watch(self) -> None:
-        """Have the loop tell when somebody waits."""
-        self._timer = None
+        """Watch the socket for connections."""
+        self._pause_timer = None
         try:
-            self._loop.add_reader(self._listener.fileno(), self._readable)
-        except OSError as error:  # the system has no memory for one more watch
-            self._note(error)
-            self._wait()
-
-    def _readable(self) -> None:
-        if self._accept_batch() is _Batch.FAILED:
-            self._wait()
-
-    def _accept_batch(self) -> _Batch:
-        """Accept those that wait, as many as a turn of the loop may take."""
+            self._loop.add_reader(self._listener.fileno(), self._on_readable)
+        except OSError as error:  # the system has no memory for the watch
+            self._record(error)
+            self._pause()
+
+    def _on_readable(self) -> None:
+        """Accept the connections that are waiting, or pause."""
+        if self._accept_batch() is _BatchResult.FAILED:
+            self._pause()
+
+    def _accept_batch(self) -> _BatchResult:
+        """Accept waiting connections, up to the bound for one turn of the loop."""
         accepted = 0
-        for _ in range(BATCH):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 connection, _ = self._listener.accept()
             except BlockingIOError:
-                return _Batch.EMPTY
+                return _BatchResult.EMPTY
             except (OSError, MemoryError) as error:
-                self._note(error)
+                self._record(error)
                 number = error.errno if isinstance(error, OSError) else None
                 if meaning(number, Step.ACCEPT) is Meaning.LOCAL:
-                    return _Batch.FAILED
+                    return _BatchResult.FAILED
                 continue
             accepted += 1
-            self._pause = PAUSE_LEAST
+            self._next_pause_s = MIN_PAUSE_S
             self._hand_over(connection)
-        # Guards against an error that was taken for one connection's and comes for ever.
-        return _Batch.FULL if accepted else _Batch.FAILED
+        # An error that concerns one connection may yet persist: without any success, pause.
+        return _BatchResult.FULL if accepted else _BatchResult.FAILED
 
-    def _wait(self) -> None:
-        """Make no call for a while; those who come wait in the backlog."""
+    def _pause(self) -> None:
+        """Accept nothing for a while; new connections wait in the backlog."""
         self._loop.remove_reader(self._listener.fileno())
-        self._timer = self._loop.call_later(self._next_pause(), self._watch)
-        self._ask_for_room()
+        self._pause_timer = self._loop.call_later(self._take_pause_s(), self._watch)
+        self._request_room()
 
-    def _next_pause(self) -> float:
-        pause, self._pause = self._pause, min(self._pause * 2.0, PAUSE_MOST)
+    def _take_pause_s(self) -> float:
+        """Count a pause; return its length in seconds, and double that of the next."""
+        pause_s = self._next_pause_s
+        self._next_pause_s = min(pause_s * 2.0, MAX_PAUSE_S)
         self._counters.add("accept_pauses")
-        return pause
+        return pause_s
 
-    def _ask_for_room(self) -> None:
+    def _request_room(self) -> None:
+        """Ask the owner to close idle connections."""
         if self._make_room is None:
             return
         try:
             self._make_room()
-        except Exception as error:  # whatever it did, accepting goes on
+        except Exception as error:  # must not end accepting
             self._counters.add("accept_room_faults")
-            self._log(f"fault while making room: {type(error).__name__}: {error}")
+            self._log(f"internal error while closing idle connections: {type(error).__name__}: {error}")
 
     async def _drain(self) -> None:
-        """Empty the backlog. Nothing is awaited between the call that found it empty and the end of this."""
-        end = self._loop.time() + _DRAIN_TIME
-        while (batch := self._accept_batch()) is not _Batch.EMPTY:
+        """Empty the backlog. Nothing is awaited after the call that finds it empty."""
+        end = self._loop.time() + _MAX_DRAIN_S
+        while (batch := self._accept_batch()) is not _BatchResult.EMPTY:
             if self._loop.time() >= end:
                 self._counters.add("accept_drains_cut_short")
                 return
-            pause = 0.0
-            if batch is _Batch.FAILED:
-                pause = self._next_pause()
-                self._ask_for_room()
-            await asyncio.sleep(pause)
+            pause_s = 0.0
+            if batch is _BatchResult.FAILED:
+                pause_s = self._take_pause_s()
+                self._request_room()
+            await asyncio.sleep(pause_s)
 
     def _hand_over(self, connection: socket.socket) -> None:
-        """Give an accepted connection to the loop.
+        """Give an accepted connection to the event loop.
 
-        The coroutine is run here up to the one future that it awaits, and resumed when that is done. A task
-        for each connection would cost two more turns of the loop, and its transport would not exist yet when
-        this returns."""
+        The coroutine runs here up to the one future that it awaits, and is resumed when that is done. A task
+        would cost two more turns of the loop, and the transport would not exist yet when this returns.
+        """
         opening = self._loop.connect_accepted_socket(self._make_protocol, connection)
         try:
             made = opening.send(None)
         except StopIteration:
             return
-        except Exception as error:  # costs this connection and no other
+        except Exception as error:  # must not affect other connections
             connection.close()
             self._hand_over_failed(error)
             return
         self._opening[made] = opening
         made.add_done_callback(self._opened)
 
-    def _opened(self, made: asyncio.Future[Any]) -> None:
-        """``connection_made`` has been called, or the connection was closed before that."""
+    def _opened(self, made: asyncio.Future[object]) -> None:
+        """Finish a hand-over: ``connection_made`` was called, or the connection was closed before."""
         try:
             self._opening.pop(made).send(None)
         except StopIteration:
@@ -165,15 +173,18 @@
             self._hand_over_failed(error)
 
     def _hand_over_failed(self, error: Exception) -> None:
+        """Count and log an accepted connection that was lost."""
         self._counters.add("accept_hand_over_faults")
-        self._log(f"an accepted connection was lost: {type(error).__name__}: {error}")
+        self._log(f"accepted connection lost: {type(error).__name__}: {error}")
 
-    def _note(self, error: Exception) -> None:
+    def _record(self, error: Exception) -> None:
+        """Count and log an error of ``accept``."""
         self._counters.add("accept_errors")
         self._log(f"accept failed: {type(error).__name__}: {error}")
 
     def _log(self, text: str) -> None:
+        """Log a warning, unless one was logged a short while ago."""
         now = self._loop.time()
-        if now >= self._log_from:
-            self._log_from = now + _LOG_EVERY
+        if now >= self._next_log_at:
+            self._next_log_at = now + _LOG_INTERVAL_S
             self._counters.log(text, "warning")
--- a/indigokeel/net/downstream/pipeline.py
+++ b/indigokeel/net/downstream/pipeline.py
@@ -1,95 +1,98 @@
-"""What of one client connection was read and has no answer yet: whole requests in their order, and bytes that
+"""The input of one client connection that has no response yet: complete requests in order, and bytes that
 are not parsed. No I/O.
 
-llhttp parses all that it is given and cannot be told to stop, so bytes are handed to it in slices. With that
-the memory of one connection is bounded by MOST_AHEAD requests, as many as one slice can hold, and the bytes
-of one read.
+llhttp parses all that it is given and cannot be stopped, so it is given slices. That bounds the memory of one
+connection to MAX_QUEUED_REQUESTS, the requests that fit into one slice, and the bytes of one read.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from dataclasses import dataclass
 
+from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.http import RequestError
-from indigokeel.net.messages import OutboundRequest
-from indigokeel.requests.effects import Request
 
-MOST_AHEAD = 8  # requests behind the one in service; nothing more is read until there are fewer
-_SLICE = 2 * 1024  # bytes, beside the rest of a body, that are parsed at a time
-_BODY_SLICE = 16 * 1024  # of a body in chunks, of which nothing tells where it ends
+MAX_QUEUED_REQUESTS = 8  # behind the one being served; reading pauses until there are fewer
+_SLICE_BYTES = 2 * 1024  # parsed at a time, beside the rest of a body
+_CHUNKED_BODY_SLICE_BYTES = 16 * 1024  # within a chunked body, whose end is not known
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that is owed its answer: ``request`` to be served, ``error`` to be told, or, without either,
-    a health check."""
+    """A request that awaits its response: ``received`` to be served, ``error`` to be reported, or, with
+    neither, a health check."""
 
-    arrived: float  # clock time at which its last byte was read, in s
-    keep_alive: bool  # as its client asked
-    request: tuple[Request, OutboundRequest] | None = None
+    arrived_at: float  # monotonic seconds at which its last byte may have arrived
+    keep_alive: bool  # as the client asked
+    received: ReceivedRequest | None = None
     error: RequestError | None = None
 
 
 class Pipeline:
-    """The requests of one connection that were read ahead of their turn, and the bytes behind them."""
+    """Queue requests that were read ahead of their turn, and the bytes behind them."""
 
-    __slots__ = ("_bytes", "_requests", "_start", "queued")
+    __slots__ = ("_bytes", "_requests", "_start", "arrived_at", "total_queued")
 
     def __init__(self) -> None:
-        self._requests: deque[PendingRequest] = deque()
+        self._requests: list[PendingRequest] = []  # an empty deque is ten times as large
         self._bytes = b""
-        self._start = 0  # of what is not parsed
-        self.queued = 0  # requests so far
+        self._start = 0  # of the bytes that are not parsed
+        self.arrived_at = 0.0  # monotonic seconds at which the newest bytes may have arrived
+        self.total_queued = 0  # requests ever queued
 
-    def empty(self) -> bool:
-        """Whether nothing waits, neither requests nor bytes."""
+    def is_empty(self) -> bool:
+        """Return whether neither requests nor bytes are waiting."""
         return not self._requests and not self._bytes
 
-    def full(self) -> bool:
-        """Whether so many requests wait that nothing more is to be read."""
-        return len(self._requests) >= MOST_AHEAD
+    def is_full(self) -> bool:
+        """Return whether so many requests wait that no more are to be read."""
+        return len(self._requests) >= MAX_QUEUED_REQUESTS
 
-    def add(self, request: PendingRequest) -> None:
-        """One more, behind the others."""
+    def append(self, request: PendingRequest) -> None:
+        """Queue a request behind the others."""
         self._requests.append(request)
-        self.queued += 1
+        self.total_queued += 1
 
     def first(self) -> PendingRequest | None:
-        """Whose turn it is."""
+        """Return the request whose turn it is."""
         return self._requests[0] if self._requests else None
 
     def pop(self) -> PendingRequest:
-        """Take the first out."""
-        return self._requests.popleft()
+        """Remove the first request and return it."""
+        return self._requests.pop(0)
 
-    def fail(self, error: RequestError) -> None:
-        """What waits to be served, or is a health check, gets this error in its place."""
+    def fail_requests(self, error: RequestError) -> None:
+        """Give each queued request this error in place of what it asked for, unless it has one already."""
         for request in self._requests:
-            request.request = None
+            request.received = None
             request.error = request.error or error
 
     def clear(self) -> None:
-        """Nobody waits for any of it."""
+        """Drop all requests and bytes."""
         self._requests.clear()
         self.drop_bytes()
 
     # --- bytes ----------------------------------------------------------------------------------------
 
-    def unparsed(self) -> bool:
-        """Whether bytes are left to parse."""
+    def has_unparsed_bytes(self) -> bool:
+        """Return whether bytes are waiting to be parsed."""
         return bool(self._bytes)
 
-    def hold(self, data: bytes) -> None:
-        """Take in what was read."""
+    def append_bytes(self, data: bytes, arrived_at: float) -> None:
+        """Queue bytes that were read, which may have arrived at ``arrived_at`` in monotonic seconds."""
+        self.arrived_at = arrived_at
         self._bytes = self._bytes[self._start :] + data if self._bytes else data
         self._start = 0
 
-    def next_slice(self, body_left: int) -> bytes | memoryview:
-        """The next bytes to parse. ``body_left``: bytes until the end of the body that is being read, 0
-        between bodies, -1 where it comes in chunks."""
-        size = _BODY_SLICE if body_left < 0 else body_left + _SLICE
-        start, end = self._start, self._start + size
+    def next_slice(self, remaining_body_bytes: int) -> bytes | memoryview:
+        """Remove and return the next bytes to parse.
+
+        ``remaining_body_bytes`` is the length until the end of the current body: 0 outside of bodies, -1 in a
+        chunked one.
+        """
+        size = _CHUNKED_BODY_SLICE_BYTES if remaining_body_bytes < 0 else remaining_body_bytes + _SLICE_BYTES
+        start = self._start
+        end = start + size
         if end < len(self._bytes):
             self._start = end
             return memoryview(self._bytes)[start:end]
@@ -98,5 +101,6 @@
         return memoryview(data)[start:] if start else data
 
     def drop_bytes(self) -> None:
-        """They are not parsed any more."""
-        self._bytes, self._start = b"", 0
+        """Drop the bytes that are not parsed."""
+        self._bytes = b""
+        self._start = 0
--- a/indigokeel/net/downstream/request_decoder.py
+++ b/indigokeel/net/downstream/request_decoder.py
@@ -1,90 +1,148 @@
-"""A client's message, read as a request. No I/O."""
+"""Decodes the head of a client's HTTP message into a request. No I/O."""
 
 from __future__ import annotations
 
 import contextlib
 import re
 from collections.abc import Mapping
+from typing import NamedTuple
 
-from indigokeel.balancing.settings import Idempotency, Settings
+from indigokeel.balancing.settings import ClassSettings, Idempotency, Settings
+from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.http import RequestError
 from indigokeel.net.messages import OutboundRequest
 from indigokeel.requests.effects import Request
 
-_LONGEST = 3600.0  # s that a client may be willing to wait
+_METHODS = (b"GET", b"POST")
+_MAX_REQUEST_ID_CHARS = 200
+_MAX_TIMEOUT_DIGITS = 9
+_MAX_BUDGET_S = 3600.0
+_MAX_WORK_HINT_S = 3600.0
+_MAX_PLAIN_LENGTH_CHARS = 8
 
-# A plain message, for a sidecar that is behind: its head from end to end, and what is read off it unparsed.
-_PLAIN = re.compile(rb"(?:GET|POST) [^ \r\n]+ HTTP/1\.1\r\n(?:[!-9;-~]+:[^\r\n]*\r\n)+\r\n")
-_FRAMED = re.compile(rb"\r\n(?:transfer-encoding|connection|expect|upgrade):", re.IGNORECASE)
-_CLASS = re.compile(rb"\r\nrequest-class: *([^\r\n]+)\r", re.IGNORECASE)
-_WAIT = re.compile(rb"\r\nrequest-timeout-ms: *(\d{1,9})\r", re.IGNORECASE)
-_LENGTH = re.compile(rb"\r\ncontent-length:([^\r]*)(?=\r)", re.IGNORECASE)
+# A complete head in its plainest form, which an overloaded sidecar can refuse without parsing it.
+_PLAIN_HEAD = re.compile(rb"(?:GET|POST) [^ \r\n]+ HTTP/1\.1\r\n(?:[!-9;-~]+:[^\r\n]*\r\n)+\r\n")
+_FRAMING_HEADER = re.compile(rb"\r\n(?:transfer-encoding|connection|expect|upgrade):", re.IGNORECASE)
+_CLASS_HEADER = re.compile(rb"\r\nrequest-class: *([^\r\n]+)\r", re.IGNORECASE)
+_TIMEOUT_HEADER = re.compile(rb"\r\nrequest-timeout-ms: *(\d{1,9})\r", re.IGNORECASE)
+_LENGTH_HEADER = re.compile(rb"\r\ncontent-length:([^\r]*)(?=\r)", re.IGNORECASE)
 
 Headers = Mapping[bytes, bytes]  # names in lower case
 
 
-def read_plain(data: bytes) -> tuple[str, float] | None:
-    """The class of a whole and plain message and the seconds that its sender waits, or None where it is not
-    plain: then it is for the parser to say what it is."""
-    plain = _PLAIN.match(data)
-    if plain is None or _FRAMED.search(data, 0, plain.end()):
+class PlainRequest(NamedTuple):
+    """What load shedding needs to know of a request that has not been parsed."""
+
+    class_name: str
+    budget_s: float
+
+
+def read_plain(data: bytes) -> PlainRequest | None:
+    """Scan bytes that are exactly one complete and plain message; return None if they are anything else.
+
+    None says nothing about whether the message is valid: only the parser decides that.
+    """
+    head = _PLAIN_HEAD.match(data)
+    if head is None or _FRAMING_HEADER.search(data, 0, head.end()):
         return None
-    head = plain.end()
-    name, wait, length = _CLASS.search(data, 0, head), _WAIT.search(data, 0, head), 0
-    lengths = _LENGTH.findall(data, 0, head)
-    if lengths:
-        if not lengths[0].strip().isdigit() or len(lengths[0]) > 8:
-            return None
-        length = int(lengths[0])
-    if name is None or wait is None or len(lengths) > 1 or len(data) != head + length:
+    end = head.end()
+    class_name = _CLASS_HEADER.search(data, 0, end)
+    timeout = _TIMEOUT_HEADER.search(data, 0, end)
+    body_length = _plain_body_length(_LENGTH_HEADER.findall(data, 0, end))
+    if class_name is None or timeout is None or body_length is None or len(data) != end + body_length:
         return None
-    return name[1].decode("latin-1"), int(wait[1]) / 1000.0
+    return PlainRequest(class_name[1].decode("latin-1"), int(timeout[1]) / 1000.0)
 
 
-def read_request(
-    method: bytes, target: bytes, headers: Headers, settings: Settings
-) -> tuple[Request, OutboundRequest]:
-    """Turn a message's head into a request and what of it goes on; raises MalformedError."""
+def _plain_body_length(values: list[bytes]) -> int | None:
+    """Return the body's length in bytes by the Content-Length values, or None if they are not plain."""
+    if not values:
+        return 0
+    if len(values) > 1 or not values[0].strip().isdigit() or len(values[0]) > _MAX_PLAIN_LENGTH_CHARS:
+        return None
+    return int(values[0])
+
 
-    get = headers.get
-    if method not in (b"GET", b"POST"):
+def read_request(method: bytes, target: bytes, headers: Headers, settings: Settings) -> ReceivedRequest:
+    """Decode a message's head. Raises RequestError if the request cannot be served."""
+    if method not in _METHODS:
         raise RequestError(405, "the method is neither GET nor POST")
-    name = get(b"request-class", b"").decode("latin-1")
-    for cls in settings.classes:
-        if cls.name == name:
-            break
-    else:
-        raise RequestError(400, "Request-Class is missing or not known")
-    parts = target.split(b"?", 1)[0].decode("latin-1").split("/")
-    if len(parts) < 2 or parts[1] != name:
+    class_settings = _read_class(headers, settings)
+    path = _read_path(target, class_settings.name)
+    request_id = _read_request_id(headers)
+    budget_s = _read_budget(headers)
+    idempotency_key = _read_idempotency_key(headers, class_settings)
+    info = _read_request_info(headers)
+    request = Request(
+        id=request_id,
+        class_name=class_settings.name,
+        budget=budget_s,
+        tenant=headers.get(b"tenant", b"").decode("latin-1"),
+        key=path[-1] if len(path) > 2 else "",
+        hint=_read_work_hint(headers, info),
+        repeat=headers.get(b"client-retry") == b"1",
+        write=info.get("mutates") == "1",
+    )
+    has_body = b"content-length" in headers or b"transfer-encoding" in headers
+    unsafe = class_settings.idempotency is Idempotency.UNSAFE
+    outbound = OutboundRequest(method, target, headers[b"request-id"], idempotency_key, [], has_body, unsafe)
+    return ReceivedRequest(request, outbound)
+
+
+def _read_class(headers: Headers, settings: Settings) -> ClassSettings:
+    """Return the settings of the request's class."""
+    name = headers.get(b"request-class", b"").decode("latin-1")
+    for class_settings in settings.classes:
+        if class_settings.name == name:
+            return class_settings
+    raise RequestError(400, "Request-Class is missing or not known")
+
+
+def _read_path(target: bytes, class_name: str) -> list[str]:
+    """Return the path's segments, the empty one before the first slash included."""
+    segments = target.split(b"?", 1)[0].decode("latin-1").split("/")
+    if len(segments) < 2 or segments[1] != class_name:
         raise RequestError(404, "the path does not begin with the class")
-    request_id = get(b"request-id", b"").decode("latin-1")
-    if not request_id or len(request_id) > 200 or not request_id.isprintable():
+    return segments
+
+
+def _read_request_id(headers: Headers) -> str:
+    """Return the request's id."""
+    request_id = headers.get(b"request-id", b"").decode("latin-1")
+    if not request_id or len(request_id) > _MAX_REQUEST_ID_CHARS or not request_id.isprintable():
         raise RequestError(400, "Request-Id is missing or bad")
-    wait = get(b"request-timeout-ms", b"")
-    if not wait.isdigit() or len(wait) > 9 or int(wait) == 0:
+    return request_id
+
+
+def _read_budget(headers: Headers) -> float:
+    """Return the seconds that the client waits for its response."""
+    timeout_ms = headers.get(b"request-timeout-ms", b"")
+    if not timeout_ms.isdigit() or len(timeout_ms) > _MAX_TIMEOUT_DIGITS or int(timeout_ms) == 0:
         raise RequestError(400, "Request-Timeout-Ms is missing or bad")
+    return min(int(timeout_ms) / 1000.0, _MAX_BUDGET_S)
+
+
+def _read_idempotency_key(headers: Headers, class_settings: ClassSettings) -> bytes | None:
+    """Return the idempotency key, which is mandatory in classes whose requests are repeated by key."""
     key = headers.get(b"idempotency-key")
-    if cls.idempotency is Idempotency.KEYED and not key:
+    if class_settings.idempotency is Idempotency.KEYED and not key:
         raise RequestError(400, "Idempotency-Key is missing")
-    extras = {}
-    if b"request-info" in headers:
-        pairs = headers[b"request-info"].decode("latin-1").split(",")
-        extras = dict(pair.strip().split("=", 1) for pair in pairs if "=" in pair)
-    hint = 0.0
-    if extras or b"work-hint" in headers:
-        with contextlib.suppress(ValueError):
-            hint = float(get(b"work-hint", b"").decode("latin-1") or extras.get("hint-s") or 0.0)
-    request = Request(
-        id=request_id,
-        class_name=name,
-        budget=min(int(wait) / 1000.0, _LONGEST),
-        tenant=get(b"tenant", b"").decode("latin-1"),
-        key=parts[-1] if len(parts) > 2 else "",
-        hint=hint if 0.0 <= hint < _LONGEST else 0.0,
-        repeat=headers.get(b"client-retry") == b"1",
-        write=extras.get("mutates") == "1",
-    )
-    framed = b"content-length" in headers or b"transfer-encoding" in headers
-    unsafe = cls.idempotency is Idempotency.UNSAFE
-    return request, OutboundRequest(method, target, headers[b"request-id"], key, [], framed, unsafe)
+    return key
+
+
+def _read_request_info(headers: Headers) -> dict[str, str]:
+    """Return the pairs of ``Request-Info: name=value,...``."""
+    if b"request-info" not in headers:
+        return {}
+    pairs = headers[b"request-info"].decode("latin-1").split(",")
+    return dict(pair.strip().split("=", 1) for pair in pairs if "=" in pair)
+
+
+def _read_work_hint(headers: Headers, info: dict[str, str]) -> float:
+    """Return the seconds of work that the client expects, or 0.0 if it gives no sensible figure."""
+    if not info and b"work-hint" not in headers:
+        return 0.0
+    hint_s = 0.0
+    with contextlib.suppress(ValueError):
+        hint_s = float(headers.get(b"work-hint", b"").decode("latin-1") or info.get("hint-s") or 0.0)
+    return hint_s if 0.0 <= hint_s < _MAX_WORK_HINT_S else 0.0
--- /dev/null
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -0,0 +1,287 @@
+"""Serves the requests of one client connection, one at a time and in order."""
+
+from __future__ import annotations
+
+import time
+import weakref
+from collections.abc import Callable
+from typing import Generic, Protocol, TypeVar
+
+from indigokeel.metrics import Counters
+from indigokeel.net.downstream.client_timeouts import ClientTimeouts
+from indigokeel.net.downstream.current_exchange import CurrentExchange
+from indigokeel.net.downstream.pipeline import PendingRequest
+from indigokeel.net.downstream.received_request import ReceivedRequest
+from indigokeel.net.downstream.request_decoder import PlainRequest
+from indigokeel.net.downstream.request_handler import FinalResponse, RequestHandler
+from indigokeel.net.downstream.request_input import RequestInput
+from indigokeel.net.downstream.response_writer import ResponseWriter
+from indigokeel.net.http import RequestError
+from indigokeel.net.streams import RequestStream
+from indigokeel.requests.coordinator import RESPONSE_MARGIN_S
+from indigokeel.requests.effects import FinalStatus
+
+_INTERNAL_ERROR = RequestError(500, "internal error")
+_MAX_MARGIN_RATIO = 0.5  # of a request's budget that the margin for its response may take up
+
+
+class Connection(Protocol):
+    """The connection whose requests are dispatched."""
+
+    def on_finished(self) -> None:
+        """End the connection gracefully: nothing more is owed on it."""
+
+    def abort(self) -> None:
+        """Close the connection at once: the client must see that the response is incomplete."""
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed, as the system tells."""
+
+
+ConnectionT = TypeVar("ConnectionT", bound=Connection)
+
+
+class RequestDispatcher(Generic[ConnectionT]):
+    """Hand the requests of a connection to the sidecar; receive the events of both its sides.
+
+    The input and the writer refer to the dispatcher weakly, and the dispatcher to its connection, so that all
+    are freed by reference count.
+    """
+
+    __slots__ = (
+        "__weakref__",
+        "_admitted",
+        "_connection",
+        "_counters",
+        "_handler",
+        "_processing",
+        "ended",
+        "exchange",
+        "input",
+        "writer",
+    )
+
+    def __init__(
+        self,
+        connection: Callable[[], ConnectionT],
+        handler: RequestHandler[ConnectionT],
+        counters: Counters,
+        timeouts: ClientTimeouts,
+    ) -> None:
+        """``connection`` returns the owner of this object."""
+        self._connection = connection
+        self._handler = handler
+        self._counters = counters
+        events = weakref.proxy(self)
+        self.input = RequestInput(events, lambda: handler.settings, timeouts)
+        self.writer = ResponseWriter(events, timeouts, counters)
+        self.exchange = CurrentExchange(connection, handler, counters, self.input, self.writer, timeouts)
+        self._processing = False
+        self._admitted = False  # the next request has passed load shedding already
+        self.ended = False  # no more requests are served
+
+    def is_idle(self) -> bool:
+        """Return whether nothing that was read awaits a response."""
+        return not (self.exchange.busy or self.ended) and self.input.is_idle()
+
+    # --- the order of requests ------------------------------------------------------------------------
+
+    def process_pipeline(self) -> None:
+        """Serve the requests that were read, one after another; then regulate reading."""
+        if self._processing:  # a response may be written while its request is being handed over
+            return
+        self._processing = True
+        while not self.ended:
+            try:
+                self._serve_queued()
+                break
+            except Exception as error:  # an internal error must not affect other connections
+                self._on_fault(error)
+        self._processing = False
+        self.input.flow.regulate()
+
+    def _serve_queued(self) -> None:
+        """Serve queued requests until one has to be waited for; then what follows them."""
+        pipeline = self.input.pipeline
+        while not self.exchange.busy and not self.ended and (pending := pipeline.first()) is not None:
+            if self.input.flow.error_pause or (self.writer.write_paused and pending.received is None):
+                return
+            pipeline.pop()
+            self.exchange.begin(pending.keep_alive)
+            self._begin(pending)
+        if not self.exchange.busy and not self.ended:
+            self._serve_after_queue()
+
+    def _serve_after_queue(self) -> None:
+        """Serve a streamed request, or end a connection that cannot be read any further."""
+        request_input = self.input
+        streamed = request_input.take_streamed_request()
+        if streamed is not None:
+            self.exchange.begin(keep_alive=True)
+            self._accept(time.monotonic(), streamed, admitted=False)
+        elif request_input.flow.stopped:
+            if request_input.read_error is not None:
+                self._counters.add("messages_malformed")
+                self.writer.write_last_error(request_input.read_error)
+            self._connection().on_finished()
+        elif request_input.continue_expected:
+            request_input.continue_expected = False
+            if request_input.is_body_awaited():
+                self.writer.write_continue()
+
+    def _begin(self, pending: PendingRequest) -> None:
+        """Serve a request, or respond to it here if it is a health check or invalid."""
+        admitted = self._admitted
+        self._admitted = False
+        if pending.error is not None:
+            self.exchange.respond_error(pending.error)
+        elif pending.received is not None:
+            self._accept(pending.arrived_at, pending.received, admitted)
+        else:
+            self._counters.add("health_checks")
+            self.writer.write_health(self._handler.is_healthy())
+            self.exchange.on_written()
+
+    # --- admission ------------------------------------------------------------------------------------
+
+    def shed_unparsed(self, plain: PlainRequest) -> bool:
+        """Reject a request that has not been parsed, if the sidecar sheds load; return whether it does."""
+        retry_after_s = self._handler.shed_early(self._connection(), time.monotonic(), *plain)
+        if retry_after_s is None:
+            self._admitted = True  # it is not asked for again once it is parsed
+            return False
+        self._counters.add("requests_shed_early")
+        self.exchange.begin(keep_alive=True)
+        self.send_final_response(FinalResponse(FinalStatus.REJECTED, retry_after_s))
+        return True
+
+    def _accept(self, arrived_at: float, received: ReceivedRequest, admitted: bool) -> None:
+        """Hand a request to the sidecar with the rest of its budget, or reject it.
+
+        ``admitted`` requests have passed load shedding already.
+        """
+        now = time.monotonic()
+        request = received.request
+        waited_s = now - arrived_at
+        budget_s = request.budget - waited_s
+        if self._handler.is_open(request.id):
+            self.exchange.respond_error(RequestError(409, "a job of this id is open"))
+        elif budget_s <= min(RESPONSE_MARGIN_S, request.budget * _MAX_MARGIN_RATIO):
+            # It waited behind others on its connection, for which no upstream is to blame.
+            self._counters.add("requests_out_of_time")
+            self.send_final_response(FinalResponse(FinalStatus.REJECTED))
+        elif not admitted and self._shed(now, request.class_name, budget_s):
+            return
+        else:
+            self._counters.add("requests_accepted")
+            self.input.flow.reset_errors()
+            self.exchange.request_id = request.id
+            request.budget = budget_s
+            request.waited = waited_s
+            self._handler.handle_request(self._connection(), now, request, received.outbound)
+
+    def _shed(self, now: float, class_name: str, budget_s: float) -> bool:
+        """Reject a request if the sidecar sheds load; return whether it does."""
+        retry_after_s = self._handler.shed_early(self._connection(), now, class_name, budget_s)
+        if retry_after_s is None:
+            return False
+        self._counters.add("requests_shed_early")
+        self.send_final_response(FinalResponse(FinalStatus.REJECTED, retry_after_s))
+        return True
+
+    # --- responses ------------------------------------------------------------------------------------
+
+    def send_final_response(self, final: FinalResponse) -> None:
+        """Respond to the request that is being served, and serve the next."""
+        self.exchange.request_id = ""
+        if self.ended:
+            return
+        try:
+            self.exchange.respond(final)
+        except Exception as error:  # an internal error must not affect other connections
+            self._on_fault(error)
+        self.process_pipeline()
+
+    def on_response_written(self) -> None:
+        """Serve the next request after a streamed response."""
+        self.exchange.on_written()
+        self.process_pipeline()
+
+    def on_response_truncated(self) -> None:
+        """Close at once after a streamed response that is incomplete."""
+        self._connection().abort()
+
+    # --- the request's body ---------------------------------------------------------------------------
+
+    def on_continue_expected(self) -> None:
+        """Invite the client to send the body, now or once it is the request's turn."""
+        self.input.continue_expected = self.exchange.busy or self.input.pipeline.first() is not None
+        if not self.input.continue_expected:
+            self.writer.write_continue()
+
+    def on_body_discarded(self) -> None:
+        """Handle the last byte of a request that was responded to before it was complete."""
+        self.exchange.on_body_discarded()
+
+    def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
+        """Handle the last byte of the streamed body of the request that is being served."""
+        self.exchange.on_stream_ended(request_stream, keep_alive)
+
+    def regulate_reading(self) -> None:
+        """Pause or resume reading."""
+        self.input.flow.regulate()
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed, as the system tells."""
+        return self.ended or self._connection().has_disconnected()
+
+    # --- the end --------------------------------------------------------------------------------------
+
+    def stop(self) -> None:
+        """Drop all requests; serve and parse nothing more."""
+        self.ended = True
+        self.input.pipeline.clear()
+        self.exchange.release_request()
+        self.input.flow.stop()
+
+    def on_read_error(self, error: RequestError) -> None:
+        """Stop reading at broken framing, and give up the request whose body it breaks off."""
+        if self.input.flow.stopped:
+            return
+        if self.exchange.request_id and self.input.active_stream() is not None:
+            self.exchange.release_request()
+            self.exchange.busy = False
+        self.input.fail(error)
+
+    def refuse_all(self, error: RequestError) -> None:
+        """Respond to everything that was read that it will not be served, in order."""
+        if self.exchange.busy:
+            self.exchange.busy = False
+            self.exchange.release_request()
+            self.writer.write_last_response(FinalResponse(FinalStatus.FAILED))
+        for refusal in self.input.drain_errors(error, self.on_read_error):
+            self.writer.write_last_error(refusal)
+
+    # --- internal errors ------------------------------------------------------------------------------
+
+    def on_read_fault(self, error: Exception) -> None:
+        """Handle an internal error while the connection was parsed: what came before it is served."""
+        if not self.ended:
+            self._record_fault(error)
+            self.on_read_error(_INTERNAL_ERROR)
+
+    def _on_fault(self, error: Exception) -> None:
+        """Respond to all that was read with an error, and end the connection."""
+        self._record_fault(error)
+        try:
+            if self.writer.is_streaming():
+                raise error
+            self.refuse_all(_INTERNAL_ERROR)
+            self._connection().on_finished()
+        except Exception:  # no complete response can be written any more
+            self._connection().abort()
+
+    def _record_fault(self, error: Exception) -> None:
+        """Count and log an internal error."""
+        self._counters.add("client_connection_faults")
+        self._counters.log(f"internal error on a client connection: {type(error).__name__}: {error}")
--- a/indigokeel/net/downstream/request_handler.py
+++ b/indigokeel/net/downstream/request_handler.py
@@ -1,4 +1,4 @@
-"""What the client side needs of the sidecar, and what it gets of it."""
+"""The interface between client connections and the sidecar that serves their requests."""
 
 from __future__ import annotations
 
@@ -11,60 +11,72 @@
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.requests.effects import FinalStatus, Request
 
-_STATUS = {FinalStatus.SERVED: 200, FinalStatus.REJECTED: 503, FinalStatus.FAILED: 500}
+_STATUS_CODES = {FinalStatus.SERVED: 200, FinalStatus.REJECTED: 503, FinalStatus.FAILED: 500}
 
-S = TypeVar("S", contravariant=True)  # the client side's own view of a connection
+ConnectionT = TypeVar("ConnectionT", contravariant=True)
 
 
 @dataclass(slots=True)
 class FinalResponse:
-    """What is written to a client."""
+    """The response to a client's request."""
 
     status: FinalStatus
     retry_after_s: float = 0.0
-    response: UpstreamResponse | None = None  # the upstream's, where it was served
+    response: UpstreamResponse | None = None  # the upstream's, if the request was served
 
-    def pieces(self, close: bool) -> list[bytes]:
-        """It as it is written, where it does not pass in pieces; ``close``: the connection ends with it."""
+    def encode(self, close: bool) -> list[bytes]:
+        """Return the head and the chunks of a body that is not streamed.
+
+        ``close`` tells the client that the connection ends with this response.
+        """
         body = self.response.body if self.response is not None else None
-        return http.response(_STATUS[self.status], body or [], self.retry_after_s, close)
+        return http.response(_STATUS_CODES[self.status], body or [], self.retry_after_s, close)
 
 
-def error_answer(error: RequestError, close: bool) -> bytes:
-    """What tells a client that its request cannot be served, and why."""
+def encode_error(error: RequestError, close: bool) -> bytes:
+    """Return the response that tells a client why its request cannot be served."""
     text = str(error).encode()
     return b"".join(http.response(error.status, [text + b"\n"] if text else [], close=close))
 
 
-class RequestHandler(Protocol[S]):
-    """The sidecar, as the client side sees it."""
+class RequestHandler(Protocol[ConnectionT]):
+    """The sidecar, as client connections see it."""
 
-    closing: bool
+    closing: bool  # the process shuts down
+    overloaded: bool  # the sidecar itself: some requests are rejected early
     settings: Settings  # those in force
 
-    def is_healthy(self) -> bool: ...
+    def is_healthy(self) -> bool:
+        """Return whether the sidecar can serve requests."""
 
-    def is_open(self, request_id: str) -> bool: ...
+    def is_open(self, request_id: str) -> bool:
+        """Return whether a request of this id is being served."""
 
-    def handle_request(self, client: S, arrived: float, request: Request, outbound: OutboundRequest) -> None:
-        """Take a request. Its answer comes by ``ClientConnection.answer``, perhaps before this returns."""
+    def handle_request(
+        self, client: ConnectionT, arrived: float, request: Request, outbound: OutboundRequest
+    ) -> None:
+        """Serve a request.
 
-    def request_body_received(self, request_id: str) -> None:
-        """The last byte of a request's long body has come."""
+        The response goes to ``ClientConnection.send_final_response``, perhaps before this returns.
+        """
 
-    def client_disconnected(self, request_id: str) -> None: ...
+    def request_body_received(self, request_id: str) -> None:
+        """Note that the last byte of a streamed body has been received."""
 
-    overloaded: bool  # the sidecar itself: some requests are turned away
+    def client_disconnected(self, request_id: str) -> None:
+        """Give up a request whose client has gone."""
 
-    def shed_early(self, client: S, arrived: float, class_name: str, budget: float) -> float | None:
-        """Whether the sidecar is too far behind to take a request: the wait to advise, or None."""
+    def shed_early(self, client: ConnectionT, arrived: float, class_name: str, budget: float) -> float | None:
+        """Return the seconds after which to retry if the sidecar is too far behind, else None."""
 
     def is_crowded(self) -> bool:
-        """Whether clients' connections have become so many that each ends with its answer."""
+        """Return whether there are so many client connections that each closes after its response."""
 
-    def connection_opened(self, client: S) -> None: ...
+    def connection_opened(self, client: ConnectionT) -> None:
+        """Register a connection."""
 
-    def connection_closing(self, client: S) -> None:
-        """It has had its last word, and only waits for its peer."""
+    def connection_closing(self, client: ConnectionT) -> None:
+        """Note that a connection has been ended and waits for its peer to close."""
 
-    def connection_closed(self, client: S) -> None: ...
+    def connection_closed(self, client: ConnectionT) -> None:
+        """Remove a connection."""
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -1,5 +1,5 @@
-"""Reads the requests of one client connection off its bytes, and tells broken framing from a request that is
-well framed and cannot be served. No I/O."""
+"""Parses the requests of one client connection, and tells broken framing, which ends the connection, from a
+well-framed request that cannot be served. No I/O."""
 
 from __future__ import annotations
 
@@ -10,175 +10,216 @@
 
 from indigokeel.balancing.settings import Settings
 from indigokeel.net import http
+from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.http import RequestError
-from indigokeel.net.messages import OutboundRequest
 from indigokeel.net.streams import RequestStream, RequestStreamSource
-from indigokeel.requests.effects import Request
 
-_MOST_HEADERS = 100
-_MOST_PIECES = 64  # of a body that came in crumbs: then they are joined, so that they stay few
+_MAX_HEADERS = 100
+_MAX_BODY_CHUNKS = 64  # of a buffered body; more are joined, for many small ones cost memory
+_HEALTH_TARGET = b"/_health"
 
 
-class Receiver(RequestStreamSource, Protocol):
-    """The connection's session, which is told of what was read."""
+class RequestEvents(RequestStreamSource, Protocol):
+    """Receives what the parser finds, and is the source of the bodies that are streamed."""
 
-    def request_read(
-        self, request: tuple[Request, OutboundRequest] | None, error: RequestError | None, keep_alive: bool
-    ) -> None:
-        """One more request is owed an answer: a whole one, a health check where there is neither request nor
-        error, or, from its head on, one that cannot be served, whose body is thrown away as it comes."""
+    def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
+        """Handle a complete request."""
 
-    def upload_begun(self, request: tuple[Request, OutboundRequest]) -> None:
-        """A request's body is longer than what is read whole: it goes on in pieces."""
+    def on_health_check(self, keep_alive: bool) -> None:
+        """Handle a complete health check."""
 
-    def upload_read(
-        self, request_stream: RequestStream, request: tuple[Request, OutboundRequest], keep_alive: bool
-    ) -> None:
-        """The last byte of that body was read."""
+    def on_invalid_request(self, error: RequestError, keep_alive: bool) -> None:
+        """Handle a well-framed request that cannot be served. Its body is discarded as it arrives."""
 
-    def body_expected(self) -> None:
-        """The client waits for a word before it sends the body."""
+    def on_body_discarded(self) -> None:
+        """Handle the last byte of a request that was responded to before it was complete."""
 
-    def discarded(self) -> None:
-        """The last byte of a request that had its error before was read."""
+    def on_continue_expected(self) -> None:
+        """Handle ``Expect: 100-continue``: the client waits before it sends the body."""
 
+    def on_stream_started(self, received: ReceivedRequest) -> None:
+        """Handle a request whose body is too long to be buffered and is streamed instead."""
 
-class RequestReader:
-    """httptools calls the ``on_`` methods."""
+    def on_stream_ended(
+        self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
+    ) -> None:
+        """Handle the last byte of a streamed body."""
 
-    __slots__ = (
-        "_head_size", "_headers", "_length", "_parser", "_receiver", "_request", "_settings", "_target",
-        "answered", "in_head", "messages", "reading", "size", "request_stream",
-    )  # fmt: skip
 
-    def __init__(self, receiver: Receiver, settings: Callable[[], Settings]) -> None:
-        """``settings`` tells those in force."""
-        self._receiver, self._settings = receiver, settings
+class RequestParser:
+    """Parse requests and report them as events. httptools calls the ``on_`` methods."""
+
+    __slots__ = (
+        "_content_length",
+        "_events",
+        "_head_bytes",
+        "_headers",
+        "_parser",
+        "_received",
+        "_settings",
+        "_target",
+        "answered",
+        "body_bytes",
+        "in_head",
+        "in_message",
+        "messages_parsed",
+        "request_stream",
+    )
+
+    def __init__(self, events: RequestEvents, settings: Callable[[], Settings]) -> None:
+        """``settings`` returns those in force."""
+        self._events = events
+        self._settings = settings
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
-        self._head_size = 0
-        self._length = -1  # of the body in bytes, -1: in chunks, or none
-        self._request: tuple[Request, OutboundRequest] | None = None
-        self.messages = 0  # read to their end so far
-        self.reading = False  # within a message
-        self.in_head = False  # ... and its head
-        self.size = 0  # bytes of its body so far
-        self.answered = False  # an answer to it was written or is queued: it gets no other
-        self.request_stream: RequestStream | None = None  # its body, where that is long
+        self._head_bytes = 0
+        self._content_length = -1  # -1: a chunked body, or none
+        self._received: ReceivedRequest | None = None
+        self.messages_parsed = 0
+        self.in_message = False
+        self.in_head = False
+        self.body_bytes = 0  # of the current message so far
+        self.answered = False  # the current message has its response already, written or queued
+        self.request_stream: RequestStream | None = None  # the current message's body, if it is streamed
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take in bytes; raises MalformedError where the connection cannot be read any further, and whatever
-        fault came up."""
+        """Parse bytes.
+
+        Raises RequestError if the framing is broken, and whatever an event handler raises.
+        """
         assert self._parser is not None
-        whole = self.messages
+        parsed_before = self.messages_parsed
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserCallbackError as error:
             raise (error.__context__ or error) from None
         except httptools.HttpParserError as error:
             raise RequestError(400, str(error)) from None
-        if self.in_head and self.messages == whole:  # all of it was head
-            self._head_size += len(data)
-            if self._head_size > http.MAX_HEAD:
-                raise RequestError(431, "the head is too large")
+        if self.in_head and self.messages_parsed == parsed_before:
+            self._count_head_bytes(len(data))
+
+    def _count_head_bytes(self, size: int) -> None:
+        """Bound a head that arrives in many small reads."""
+        self._head_bytes += size
+        if self._head_bytes > http.MAX_HEAD:
+            raise RequestError(431, "the head is too large")
 
     def stop(self) -> None:
-        """Read nothing more. The parser holds this object: the two are let go together."""
-        self._parser, self.reading, self.in_head = None, False, False
-        self._request = self.request_stream = None
-
-    def body_left(self) -> int:
-        """Bytes until the end of the body that is being read: 0 between bodies, -1 where it comes in
-        chunks."""
-        if not self.reading or self.in_head:
+        """Release the parser. It refers to this object, so the two are freed by reference count only then."""
+        self._parser = None
+        self.in_message = False
+        self.in_head = False
+        self._received = None
+        self.request_stream = None
+
+    def remaining_body_bytes(self) -> int:
+        """Return the bytes until the end of the current body, 0 outside of bodies, -1 in a chunked one."""
+        if not self.in_message or self.in_head:
             return 0
-        return -1 if self._length < 0 else max(self._length - self.size, 0)
+        return -1 if self._content_length < 0 else max(self._content_length - self.body_bytes, 0)
 
-    # --- httptools ------------------------------------------------------------------------------------
+    # --- httptools callbacks --------------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self.reading = self.in_head = True
-        self._target, self._headers, self._request = b"", {}, None
-        self._head_size = self.size = 0
+        """Start a message."""
+        self.in_message = True
+        self.in_head = True
+        self._target = b""
+        self._headers = {}
+        self._received = None
+        self._head_bytes = 0
+        self.body_bytes = 0
         self.answered = False
 
     def on_url(self, url: bytes) -> None:
+        """Append to the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if len(name) + len(value) > http.MAX_HEAD or len(self._headers) > _MOST_HEADERS:
+        """Record a header; the first one of a name counts. Raises RequestError if the head is too large."""
+        if len(name) + len(value) > http.MAX_HEAD or len(self._headers) > _MAX_HEADERS:
             raise RequestError(431, "the head is too large")
-        # The blanks round a value are none of it; llhttp leaves those behind it that came in another piece.
+        # llhttp keeps trailing blanks that arrived in another read than the value.
         self._headers.setdefault(name.lower(), value.strip(b" \t"))
 
     def on_headers_complete(self) -> None:
+        """Decode the head. Raises RequestError if the connection cannot be parsed any further."""
         parser = self._parser
         assert parser is not None
         self.in_head = False
-        if len(self._target) + sum(map(len, self._headers.values())) > http.MAX_HEAD:
-            raise RequestError(431, "the head is too large")
-        http.one_framing(self._headers)
-        length = self._headers.get(b"content-length")
-        self._length = -1 if length is None else int(length)
-        if self._length > http.MOST_BODY:
-            raise RequestError(413, "the body is too large")
+        self._check_head()
         if parser.should_upgrade():
             raise RequestError(400, "no other protocol is spoken here")
         if self._headers.get(b"expect", b"").lower() == b"100-continue":
-            self._receiver.body_expected()
-        if self._target == b"/_health":
+            self._events.on_continue_expected()
+        if self._target == _HEALTH_TARGET:
             return
         try:
-            request = read_request(parser.get_method(), self._target, self._headers, self._settings())
+            self._received = read_request(parser.get_method(), self._target, self._headers, self._settings())
         except RequestError as error:
-            # Its bounds are known, so the connection is good for the next one.
-            self._refuse(error)
-        else:
-            request[1].left = self._receiver.has_disconnected
-            self._request = request
+            # The end of the message is known, so the connection can serve the next one.
+            self._reject(error)
+
+    def _check_head(self) -> None:
+        """Check the head's size and framing. Raises RequestError if either is not acceptable."""
+        if len(self._target) + sum(map(len, self._headers.values())) > http.MAX_HEAD:
+            raise RequestError(431, "the head is too large")
+        http.one_framing(self._headers)
+        content_length = self._headers.get(b"content-length")
+        self._content_length = -1 if content_length is None else int(content_length)
+        if self._content_length > http.MOST_BODY:
+            raise RequestError(413, "the body is too large")
 
-    def _refuse(self, error: RequestError) -> None:
+    def _reject(self, error: RequestError) -> None:
+        """Report a request that cannot be served."""
         assert self._parser is not None
         self.answered = True
-        text = "" if self._parser.get_method() == b"HEAD" else str(error)  # no answer to HEAD has a body
-        self._receiver.request_read(None, RequestError(error.status, text), self._parser.should_keep_alive())
+        text = "" if self._parser.get_method() == b"HEAD" else str(error)  # a response to HEAD has no body
+        # A raised error refers to its traceback's frames; a new one keeps nothing alive while it is queued.
+        queued = RequestError(error.status, text)
+        self._events.on_invalid_request(queued, self._parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
-        self.size += len(data)
+        """Buffer, stream or discard a part of the body. Raises RequestError if the body is too large."""
+        self.body_bytes += len(data)
         if self.request_stream is not None or self.answered:
-            if self.size > http.MOST_BODY:
+            if self.body_bytes > http.MOST_BODY:
                 raise RequestError(413, "the body is too large")
             if self.request_stream is not None:
                 self.request_stream.add(data)
-            return
-        if self._request is None:
-            if self.size > http.MAX_BODY:
-                self._refuse(RequestError(413, "the body is too large"))
-            return
-        outbound = self._request[1]
+        elif self._received is not None:
+            self._buffer(self._received, data)
+        elif self.body_bytes > http.MAX_BODY:
+            self._reject(RequestError(413, "the body is too large"))
+
+    def _buffer(self, received: ReceivedRequest, data: bytes) -> None:
+        """Append to a body, which is streamed once it is too long to be buffered."""
+        outbound = received.outbound
         outbound.body.append(data)
-        if self.size > http.MAX_BODY:
-            outbound.request_stream = self.request_stream = RequestStream(
-                self._receiver, self._length, outbound.body
-            )
+        if self.body_bytes > http.MAX_BODY:
+            self.request_stream = RequestStream(self._events, self._content_length, outbound.body)
+            outbound.request_stream = self.request_stream
             outbound.body = []
-            self._request[0].long = True
-            self._receiver.upload_begun(self._request)
-        elif len(outbound.body) >= _MOST_PIECES:
+            received.request.long = True
+            self._events.on_stream_started(received)
+        elif len(outbound.body) >= _MAX_BODY_CHUNKS:
             outbound.body[:] = [b"".join(outbound.body)]
 
     def on_message_complete(self) -> None:
+        """Report the end of a message."""
         assert self._parser is not None
-        self.reading = False
-        self.messages += 1
+        self.in_message = False
+        self.messages_parsed += 1
         keep_alive = self._parser.should_keep_alive()
-        request, self._request = self._request, None
+        received, self._received = self._received, None
         request_stream, self.request_stream = self.request_stream, None
-        if request_stream is not None and request is not None:
-            self._receiver.upload_read(request_stream, request, keep_alive)
+        if request_stream is not None and received is not None:
+            self._events.on_stream_ended(request_stream, received, keep_alive)
         elif self.answered:
-            self._receiver.discarded()
+            self._events.on_body_discarded()
+        elif received is not None:
+            self._events.on_request(received, keep_alive)
         else:
-            self._receiver.request_read(request, None, keep_alive)
+            self._events.on_health_check(keep_alive)
--- /dev/null
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -0,0 +1,127 @@
+"""Takes the requests that the parser finds into the pipeline, and the long bodies that are streamed."""
+
+from __future__ import annotations
+
+import time
+from typing import Protocol
+
+from indigokeel.net.downstream.client_timeouts import ClientTimeouts
+from indigokeel.net.downstream.pipeline import PendingRequest, Pipeline
+from indigokeel.net.downstream.received_request import ReceivedRequest
+from indigokeel.net.http import RequestError
+from indigokeel.net.streams import RequestStream
+
+
+class ReceiverEvents(Protocol):
+    """Receives what concerns the request that is being served."""
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed, as the system tells."""
+
+    def on_continue_expected(self) -> None:
+        """Handle a client that waits for ``100 Continue``."""
+
+    def on_body_discarded(self) -> None:
+        """Handle the last byte of a request that was responded to before it was complete."""
+
+    def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
+        """Handle the last byte of the streamed body of the request that is being served."""
+
+    def regulate_reading(self) -> None:
+        """Pause or resume reading as the streamed body requires."""
+
+
+class RequestReceiver:
+    """Receive the parser's events; implements ``RequestEvents``.
+
+    A streamed request waits here, outside of the pipeline, until it is its turn: nothing behind it is parsed
+    before that.
+    """
+
+    __slots__ = ("_events", "_pipeline", "_stream_full", "_timeouts", "streamed_request")
+
+    def __init__(self, events: ReceiverEvents, pipeline: Pipeline, timeouts: ClientTimeouts) -> None:
+        self._events = events
+        self._pipeline = pipeline
+        self._timeouts = timeouts
+        self._stream_full = False  # the streamed body has to be forwarded before more of it is read
+        self.streamed_request: ReceivedRequest | None = None
+
+    def is_blocked(self) -> bool:
+        """Return whether the streamed body holds up the parsing of what is behind it."""
+        return self._stream_full or self.streamed_request is not None
+
+    def take_streamed_request(self) -> ReceivedRequest | None:
+        """Return the streamed request that waits for its turn, if there is one, and stop to hold it."""
+        received = self.streamed_request
+        self.streamed_request = None
+        return received
+
+    # --- parser events --------------------------------------------------------------------------------
+
+    def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
+        """Queue a complete request."""
+        self._timeouts.restart(time.monotonic())
+        received.outbound.left = self._events.has_disconnected
+        self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
+
+    def on_health_check(self, keep_alive: bool) -> None:
+        """Queue a health check."""
+        self._timeouts.restart(time.monotonic())
+        self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive))
+
+    def on_invalid_request(self, error: RequestError, keep_alive: bool) -> None:
+        """Queue the error response to a request that cannot be served."""
+        self._timeouts.restart(time.monotonic())
+        self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, error=error))
+
+    def on_body_discarded(self) -> None:
+        """Handle the last byte of a request that was responded to before it was complete."""
+        self._timeouts.restart(time.monotonic())
+        self._events.on_body_discarded()
+
+    def on_continue_expected(self) -> None:
+        """Pass on that the client waits for ``100 Continue``."""
+        self._events.on_continue_expected()
+
+    def on_stream_started(self, received: ReceivedRequest) -> None:
+        """Hold a request whose body is streamed until its turn."""
+        received.outbound.left = self._events.has_disconnected
+        self.streamed_request = received
+
+    def on_stream_ended(
+        self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
+    ) -> None:
+        """Handle the last byte of a streamed body."""
+        self._timeouts.restart(time.monotonic())
+        if self.streamed_request is not None:
+            self._queue_whole(request_stream, received, keep_alive)
+        else:
+            self._events.on_stream_ended(request_stream, keep_alive)
+
+    def _queue_whole(
+        self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
+    ) -> None:
+        """Queue a request whose body was complete before its turn: it need not be streamed."""
+        received.outbound.body = request_stream.all()
+        received.outbound.request_stream = None
+        received.request.long = False
+        self.streamed_request = None
+        self._stream_full = False
+        self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
+
+    # --- source of the streamed body ------------------------------------------------------------------
+
+    def pause(self) -> None:
+        """Read nothing until the streamed body has been forwarded."""
+        self._stream_full = True
+        self._events.regulate_reading()
+
+    def resume(self) -> None:
+        """Read more of the streamed body."""
+        self._stream_full = False
+        self._events.regulate_reading()
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has closed, as the system tells."""
+        return self._events.has_disconnected()
--- /dev/null
+++ b/indigokeel/net/downstream/response_writer.py
@@ -0,0 +1,128 @@
+"""Writes responses to one client connection."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from typing import Protocol
+
+from indigokeel.metrics import Counters
+from indigokeel.net import http
+from indigokeel.net.downstream.client_timeouts import ClientTimeouts
+from indigokeel.net.downstream.request_handler import FinalResponse, encode_error
+from indigokeel.net.http import RequestError
+from indigokeel.net.streams import ResponseStream
+
+_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_LAST_CHUNK = b"0\r\n\r\n"
+
+
+class WriterEvents(Protocol):
+    """Receives the end of a streamed response."""
+
+    def on_response_written(self) -> None:
+        """Handle a streamed response that is complete."""
+
+    def on_response_truncated(self) -> None:
+        """Handle a streamed response that ended early: the client must see that it is incomplete."""
+
+
+class ResponseWriter:
+    """Write responses, and read streamed ones from their upstream (``streams.Reader``)."""
+
+    __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "keep_alive", "write_paused")
+
+    def __init__(self, events: WriterEvents, timeouts: ClientTimeouts, counters: Counters) -> None:
+        self._events = events
+        self._timeouts = timeouts
+        self._counters = counters
+        self._transport: asyncio.Transport
+        self._stream: ResponseStream | None = None
+        self.keep_alive = True  # whether the connection persists after the current response
+        self.write_paused = False  # the client does not accept more output for now
+
+    def connected(self, transport: asyncio.Transport) -> None:
+        """Start to write to a transport."""
+        self._transport = transport
+
+    def is_streaming(self) -> bool:
+        """Return whether a streamed response is being written."""
+        return self._stream is not None
+
+    def write_continue(self) -> None:
+        """Invite the client to send the body that it holds back."""
+        self._transport.write(_CONTINUE)
+
+    def write_health(self, healthy: bool) -> None:
+        """Write the response to a health check."""
+        self._transport.write(http.head(200 if healthy else 503, 0, close=not self.keep_alive))
+
+    def write_error(self, error: RequestError) -> None:
+        """Write the response to a request that cannot be served."""
+        self._transport.write(encode_error(error, close=not self.keep_alive))
+
+    def write_last_error(self, error: RequestError) -> None:
+        """Write an error response after which the connection closes."""
+        self._transport.write(encode_error(error, close=True))
+
+    def write_last_response(self, final: FinalResponse) -> None:
+        """Write a response after which the connection closes."""
+        self._transport.write(b"".join(final.encode(close=True)))
+
+    def write_response(self, final: FinalResponse) -> bool:
+        """Write a final response; return False if it is streamed and only begun."""
+        response = final.response
+        if response is not None and response.stream is not None:
+            self._start_stream(response.stream)
+            return False
+        parts = final.encode(close=not self.keep_alive)
+        self._transport.write(b"".join(parts) if len(parts) > 1 else parts[0])
+        return True
+
+    # --- streamed responses ---------------------------------------------------------------------------
+
+    def _start_stream(self, stream: ResponseStream) -> None:
+        """Write the head, and let the body follow as it arrives."""
+        self._stream = stream
+        self._timeouts.restart(time.monotonic())
+        self._transport.write(http.head(200, stream.length, close=not self.keep_alive))
+        stream.attach(self)
+
+    def body(self, chunks: http.Body) -> None:
+        """Write more of the streamed body."""
+        assert self._stream is not None
+        self._timeouts.restart(time.monotonic())
+        self._transport.write(b"".join(http.chunk(chunks, False) if self._stream.length < 0 else chunks))
+
+    def body_ended(self, whole: bool) -> None:
+        """End the streamed response, which is incomplete unless ``whole``."""
+        stream = self._stream
+        self._stream = None
+        if stream is None:
+            return
+        if not whole:
+            self._counters.add("answers_cut_off")
+            self._events.on_response_truncated()
+            return
+        if stream.length < 0:
+            self._transport.write(_LAST_CHUNK)
+        self._events.on_response_written()
+
+    def abandon_stream(self) -> None:
+        """Give up the streamed response, if there is one."""
+        stream = self._stream
+        self._stream = None
+        if stream is not None:
+            stream.abandon()
+
+    def pause(self) -> None:
+        """Stop the streamed response: the client does not accept more for now."""
+        self.write_paused = True
+        if self._stream is not None:
+            self._stream.wait()
+
+    def resume(self) -> None:
+        """Continue the streamed response."""
+        self.write_paused = False
+        if self._stream is not None:
+            self._stream.go_on()
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from indigokeel.metrics import Counters
-from indigokeel.net.downstream.listener import BATCH, PAUSE_LEAST, PAUSE_MOST, ClientListener
+from indigokeel.net.downstream.listener import MAX_ACCEPTS_PER_TURN, MAX_PAUSE_S, MIN_PAUSE_S, ClientListener
 from tests.peers import Program, echo, read_answer, request, running, until
 from tests.test_crowds import stopped
 from tests.test_endings import HEALTH
@@ -126,13 +126,13 @@
     assert system.turn() == 0 and system.calls == 1 and system.reader is None
     while system.accepted < 5:
         system.turn()
-    assert system.pauses == [PAUSE_LEAST * factor for factor in (1, 2, 4, 8)]
+    assert system.pauses == [MIN_PAUSE_S * factor for factor in (1, 2, 4, 8)]
     assert system.asked_for_room == 4 and system.closes == 0
     assert system.counters["accept_errors"] == system.counters["accept_pauses"] == 4
     system.errors, system.waiting = [error], 1  # the next shortage begins with the least pause
     while system.waiting:
         system.turn()
-    assert system.pauses[4:] == [PAUSE_LEAST] and system.reader is not None
+    assert system.pauses[4:] == [MIN_PAUSE_S] and system.reader is not None
 
 
 @pytest.mark.parametrize("error", WAITED_FOR + UNKNOWN + PASSED_OVER)
@@ -141,11 +141,11 @@
 ) -> None:
     system = System(5, [])
     system.for_ever = error
-    most = (10.0 / PAUSE_MOST + 6) * (BATCH if error in PASSED_OVER else 1)
+    most = (10.0 / MAX_PAUSE_S + 6) * (MAX_ACCEPTS_PER_TURN if error in PASSED_OVER else 1)
     while system.now < 110.0:
         assert system.calls <= most
         system.turn()
-    assert max(system.pauses) == PAUSE_MOST and system.closes == 0
+    assert max(system.pauses) == MAX_PAUSE_S and system.closes == 0
     assert len(capfd.readouterr().err.splitlines()) <= 3
     system.for_ever = ""
     while system.accepted < 5:
@@ -153,9 +153,9 @@
 
 
 def test_one_turn_accepts_a_bounded_number() -> None:
-    system = System(10 * BATCH + 1, [])
+    system = System(10 * MAX_ACCEPTS_PER_TURN + 1, [])
     taken = [system.turn() for _ in range(11)]
-    assert taken == [BATCH] * 10 + [1] and system.pauses == []
+    assert taken == [MAX_ACCEPTS_PER_TURN] * 10 + [1] and system.pauses == []
 
 
 def test_watch_that_the_system_refuses_is_tried_again() -> None:
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize("failures", [0, 3])
 def test_close_takes_those_that_wait_first(failures: int) -> None:
     """Also where descriptors are short in that moment. Nothing runs between ``open`` and ``close``."""
-    listener, clients = backlog(3 * BATCH)
+    listener, clients = backlog(3 * MAX_ACCEPTS_PER_TURN)
 
     class Failing(socket.socket):
         left = failures
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,6 +12,7 @@
 from indigokeel.balancing.settings import ClassSettings, Idempotency, Limits, LoadReportSource, Settings
 from indigokeel.config import ConfigError, decode_settings, load_config
 from indigokeel.endpoints.endpoint_list import EndpointListError, decode, parse_address
+from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.http import RequestError, load_figures
 from tests.peers import SETTINGS, entry, parse_endpoint_list
@@ -85,14 +86,15 @@
 GOOD = {"Request-Id": "a1", "Request-Class": "order", "Request-Timeout-Ms": "480", "Idempotency-Key": "k"}
 
 
-def read(target: str, method: str = "POST", **changes: str | None) -> Any:
+def read(target: str, method: str = "POST", **changes: str | None) -> ReceivedRequest:
     headers = {**GOOD, **{name.replace("_", "-"): value for name, value in changes.items()}}
     pairs = {n.lower().encode(): value.encode() for n, value in headers.items() if value is not None}
     return read_request(method.encode(), target.encode(), pairs, decode_settings(SETTINGS))
 
 
 def test_job() -> None:
-    request, task = read("/order/x/7f?a=/b", Tenant="t", Client_Retry="1", Request_Info="a=1,mutates=1,odd")
+    received = read("/order/x/7f?a=/b", Tenant="t", Client_Retry="1", Request_Info="a=1,mutates=1,odd")
+    request, outbound = received.request, received.outbound
     assert (request.id, request.class_name, request.budget, request.tenant, request.key) == (
         "a1",
         "order",
@@ -101,8 +103,8 @@
         "7f",
     )
     assert request.repeat and request.write and request.hint == 0.0
-    assert (task.target, task.key, task.has_body) == (b"/order/x/7f?a=/b", b"k", False)
-    assert read("/order")[0].key == "" and read("/order/", Work_Hint="x")[0].hint == 0.0
+    assert (outbound.target, outbound.key, outbound.has_body) == (b"/order/x/7f?a=/b", b"k", False)
+    assert read("/order").request.key == "" and read("/order/", Work_Hint="x").request.hint == 0.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -19,7 +19,8 @@
 from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, FinalResponse
-from indigokeel.net.downstream.pipeline import MOST_AHEAD, Pipeline
+from indigokeel.net.downstream.pipeline import MAX_QUEUED_REQUESTS, Pipeline
+from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.requests.effects import FinalStatus, Request
@@ -259,7 +260,7 @@
 def test_fault_while_a_connection_is_read_leaves_what_came_before_to_be_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def faulty(method: bytes, *args: Any) -> tuple[Request, OutboundRequest]:
+    def faulty(method: bytes, *args: Any) -> ReceivedRequest:
         if method == b"PUT":
             raise KeyError("a fault")
         return read_request(method, *args)
@@ -300,28 +301,28 @@
         most = 0
         for _ in range(50):
             await asyncio.sleep(0)
-            waiting = session._pipeline
+            waiting = session._input.pipeline
             most = max(most, len(waiting._requests))
         assert sent > 50_000 and session.has_unread_input()
-        paused = session._flow.paused > 0.0
+        paused = session._input.flow.paused_at > 0.0
         far.close()
         await asyncio.sleep(0.01)
         return most, paused
 
     most, paused = asyncio.run(play())
-    assert paused and MOST_AHEAD <= most <= MOST_AHEAD + 2048 // 18 + 1
+    assert paused and MAX_QUEUED_REQUESTS <= most <= MAX_QUEUED_REQUESTS + 2048 // 18 + 1
 
 
 def test_request_that_came_while_nothing_was_read_has_no_more_time_than_its_client() -> None:
     async def play() -> list[float]:
         handler, budgets = Handler(slow=True), []
         session, far, _ = await connected(handler)
-        far.sendall(b"".join(request("pay", b"x") for _ in range(1 + MOST_AHEAD)))
-        while not session._flow.paused:
+        far.sendall(b"".join(request("pay", b"x") for _ in range(1 + MAX_QUEUED_REQUESTS)))
+        while not session._input.flow.paused_at:
             await asyncio.sleep(0.001)
         far.sendall(request("pay", b"late"))
         await asyncio.sleep(0.2)
-        for number in range(1, 3 + MOST_AHEAD):
+        for number in range(1, 3 + MAX_QUEUED_REQUESTS):
             while len(handler.taken) < number:
                 await asyncio.sleep(0.001)
             budgets.append(handler.budget)
@@ -338,12 +339,12 @@
     pipeline, sent, got = Pipeline(), b"", b""
     for number, size in enumerate(sizes):
         data = bytes([number]) * size
-        pipeline.hold(data)
+        pipeline.append_bytes(data, 0.0)
         sent += data
         got += bytes(pipeline.next_slice(number))
-    while pipeline.unparsed():
+    while pipeline.has_unparsed_bytes():
         got += bytes(pipeline.next_slice(0))
-    assert got == sent and pipeline.empty()
+    assert got == sent and pipeline.is_empty()
 
 
 @pytest.mark.parametrize(
