--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -124,8 +124,6 @@
             self._counters.add("upstream_health_checks_without_report")
         return result
 
-    probe = check_health  # the name that indigokeel.process uses
-
     def on_attempt_ended(self, sender: AttemptSender, response: UpstreamResponse) -> None:
         """Report the result of an attempt (AttemptOwner)."""
         self._in_flight.pop(sender.key, None)
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -126,7 +126,7 @@
         started_at = time.monotonic()
         outcome, load = AttemptOutcome.BROKEN, None
         try:
-            outcome, load = await self._upstream_client.probe(upstream)
+            outcome, load = await self._upstream_client.check_health(upstream)
         finally:
             now = time.monotonic()
             elapsed = now - started_at
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -146,7 +146,7 @@
     "call to an agent": (DiscoveryClient, "_call", PUSHED),
     "management": (AdminServer, "listen", SETTINGS),
     "beat": (RequestCoordinator, "sample_lag", SETTINGS),
-    "probe": (UpstreamClient, "probe", PROBED),
+    "probe": (UpstreamClient, "check_health", PROBED),
 }
 
 
