--- a/indigokeel/__main__.py
+++ b/indigokeel/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: ``python -m indigokeel``. What it needs to know is told in BALANCER_CONFIG."""
+"""Runs one sidecar: ``python -m indigokeel``, configured by the file that BALANCER_CONFIG names."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 
 
 def main() -> int:
-    """Entry point: 0 at an ordered end, 1 if the address cannot be had, 2 on a bad configuration."""
-    # A SIGHUP that comes before the sidecar listens for it waits until it does, and is not lost: the file may
-    # have been replaced just after it was read here. Before this line ``run`` has it ignored.
+    """Run the sidecar; return 0 after a graceful shutdown, 1 if it cannot listen, 2 on an invalid
+    configuration."""
+    # A SIGHUP that arrives before its handler is installed waits for it, because the file may have been
+    # replaced just after it was read here. Before this line ``run`` of the deploy file ignores the signal.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = load_config(os.environ)
     except ConfigError as error:
         print(f"indigokeel: bad configuration: {error}", file=sys.stderr)
         return 2
-    # What the imports made stays for good. Without this each full collection walks it again: 13 ms in which
-    # no request moves.
+    # The objects of the imports are never freed, so full collections need not visit them.
     gc.freeze()
-    # What a request leaves behind is freed by count alone; cycles are rare, and looking for them is not free.
+    # Requests leave no reference cycles behind, so that collections can be rare.
     gc.set_threshold(10_000, 20, 20)
     try:
-        # Before anything else is opened, which could get the number of a descriptor that was not handed on.
+        # Bound before anything else is opened, which could get the number of a descriptor that was not
+        # inherited.
         listener = http.bind(config.listen, config.listen_fd)
         uvloop.run(serve(config, listener))
     except OSError as error:
--- a/indigokeel/clocks.py
+++ b/indigokeel/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks of the machine: the one that all its processes share, and the wall clock, which is read once."""
+"""The clocks of the machine: the monotonic one, which its processes share, and the wall clock, read once."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from pathlib import Path
 
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-_MOST_BOOT_ID = 100  # characters
+_MAX_BOOT_ID_CHARACTERS = 100
 
 
 def unix_to_clock() -> float:
-    """What has to be added to a Unix time to get the monotonic clock's, as the wall clock stands now.
+    """Return the seconds to add to a Unix time to get the monotonic clock's, by the wall clock of now.
 
-    The only use of the wall clock: ``since_ms`` of the endpoint list is a Unix time."""
+    This is the only use of the wall clock: ``since_ms`` of the endpoint list is a Unix time.
+    """
     return time.monotonic() - time.time()
 
 
 def boot_id() -> str:
-    """What tells one boot of the machine from another, until which the monotonic clock goes on; empty where
-    the system does not say."""
+    """Return the id of the machine's boot, which ends the monotonic clock; empty if it is unknown."""
     try:
-        return _BOOT_ID.read_text(encoding="ascii").strip()[:_MOST_BOOT_ID]
+        return _BOOT_ID.read_text(encoding="ascii").strip()[:_MAX_BOOT_ID_CHARACTERS]
     except (OSError, ValueError):
         return ""
--- a/indigokeel/endpoints/cordons.py
+++ b/indigokeel/endpoints/cordons.py
@@ -1,11 +1,10 @@
-"""What operators took out of service, as a layer over the endpoint list. Pure: the clock is passed in.
+"""Cordons: the upstreams that operators took out of service, as a layer over the endpoint list. No I/O.
 
-Each upstream has at most one mark: taken out, or given back. The mark with the higher sequence number stands,
-so that processes of one sidecar that each hear some of the calls agree on all of them once they have
-exchanged their marks, in any order (a last-writer-wins map). A new mark's number is one more than the
-highest that was seen (a Lamport clock), so that no clock decides which of two calls came later. Times are
-those of the monotonic clock, which the processes of one machine share.
-"""
+Each upstream has at most one record: cordoned, or the cordon lifted. The record with the higher sequence
+number wins, so that processes of one sidecar that each receive some of the calls agree on all of them once
+they have exchanged their records, in any order (a last-writer-wins map). A new record's number is one more
+than the highest seen (a Lamport clock), so that no clock decides which of two calls was later. Times are
+those of the monotonic clock, which the processes of one machine share."""
 
 from __future__ import annotations
 
@@ -16,108 +15,118 @@
 from indigokeel.balancing.events import EndpointState
 from indigokeel.endpoints.endpoint_list import Endpoint
 
-_MOST = 4096  # marks kept: far more than a fleet has upstreams, so that only a fault gets there
+_MAX_RECORDS = 4096  # far more than a fleet has upstreams, so that only a fault reaches it
 
 
 @dataclass(frozen=True, slots=True)
 class CordonRecord:
-    """What was last said of an upstream."""
+    """The latest call on one upstream."""
 
-    who: str  # the upstream's name
-    out: bool  # taken out, else given back
-    at: float  # clock time of the call
-    by: str = "operator"  # who asked
-    until: float = math.inf  # clock time at which an upstream that is out comes back without a call
-    sequence: int = 0  # higher than that of each mark that was known when this one was made
+    upstream: str
+    cordoned: bool  # else the cordon was lifted
+    called_at: float  # clock time
+    called_by: str = "operator"
+    expires_at: float = math.inf  # clock time at which a cordon ends without a call
+    sequence: int = 0  # higher than that of each record that was known when this one was made
 
-    def holds(self, now: float) -> bool:
-        return self.out and now < self.until
+    def is_active(self, now: float) -> bool:
+        """Return True if the upstream is cordoned now."""
+        return self.cordoned and now < self.expires_at
 
 
 class Cordons:
-    """The marks of one sidecar."""
+    """The records of one sidecar."""
 
     def __init__(self) -> None:
+        """Start without a record."""
         self._records: dict[str, CordonRecord] = {}
-        self._highest = 0  # sequence number that was seen
-        self.revision = 0  # changes with each mark that is new
-
-    def cordon(self, who: str, now: float, by: str = "operator", until: float = math.inf) -> bool:
-        """Take an upstream out; False where it is out already, which then stays as it was."""
-        if self.holds(who, now):
+        self._highest_sequence = 0
+        self.revision = 0  # changes with each new record
+
+    def cordon(
+        self, upstream: str, now: float, called_by: str = "operator", expires_at: float = math.inf
+    ) -> bool:
+        """Cordon an upstream; return False, and change nothing, if it is cordoned already."""
+        if self.is_active(upstream, now):
             return False
-        self._set(CordonRecord(who, True, now, by, until, self._highest + 1))
+        self._set(CordonRecord(upstream, True, now, called_by, expires_at, self._highest_sequence + 1))
         return True
 
-    def uncordon(self, who: str, now: float, by: str = "operator") -> bool:
-        """Give an upstream back, however often it was taken out; False where it is not out."""
-        if not self.holds(who, now):
+    def uncordon(self, upstream: str, now: float, called_by: str = "operator") -> bool:
+        """Lift the cordon of an upstream; return False if it is not cordoned."""
+        if not self.is_active(upstream, now):
             return False
-        self._set(CordonRecord(who, False, now, by, sequence=self._highest + 1))
+        self._set(CordonRecord(upstream, False, now, called_by, sequence=self._highest_sequence + 1))
         return True
 
-    def holds(self, who: str, now: float) -> bool:
-        """Whether an upstream is out."""
-        record = self._records.get(who)
-        return record is not None and record.holds(now)
+    def is_active(self, upstream: str, now: float) -> bool:
+        """Return True if an upstream is cordoned now."""
+        record = self._records.get(upstream)
+        return record is not None and record.is_active(now)
 
-    def lay(self, endpoint: Endpoint, now: float) -> Endpoint:
-        """The machine as the decisions are to see it: one that is out drains, whatever the list says."""
-        if endpoint.state is EndpointState.GONE or not self.holds(endpoint.name, now):
+    def apply(self, endpoint: Endpoint, now: float) -> Endpoint:
+        """Return an endpoint as the balancer is to see it: a cordoned one drains, whatever the list says."""
+        if endpoint.state is EndpointState.GONE or not self.is_active(endpoint.name, now):
             return endpoint
         return replace(endpoint, state=EndpointState.DRAINING)
 
-    def given_back_at(self, who: str, now: float) -> float:
-        """When an upstream was given back, by a call or because its mark ended; 0 where it was not. It counts
-        as started then: whoever took it out has most likely restarted it, and the list tells so later."""
-        record = self._records.get(who)
-        if record is None or record.holds(now):
+    def lifted_at(self, upstream: str, now: float) -> float:
+        """Return the clock time at which a cordon was lifted or expired; 0 if there was none, or it is
+        active.
+
+        The upstream counts as started then: most likely it was restarted, and discovery lists that later.
+        """
+        record = self._records.get(upstream)
+        if record is None or record.is_active(now):
             return 0.0
-        return record.until if record.out else record.at
+        return record.expires_at if record.cordoned else record.called_at
 
-    def next_end(self, now: float) -> float:
-        """When the next mark ends by itself; infinite where none does."""
-        return min((m.until for m in self._records.values() if m.holds(now)), default=math.inf)
+    def next_expiry(self, now: float) -> float:
+        """Return the clock time at which the next cordon expires, or infinity."""
+        active = (record.expires_at for record in self._records.values() if record.is_active(now))
+        return min(active, default=math.inf)
 
-    def out(self, now: float) -> list[CordonRecord]:
-        """The marks of the upstreams that are out, longest first."""
-        return sorted(
-            (m for m in self._records.values() if m.holds(now)),
-            key=lambda record: (record.at, record.sequence),
-        )
+    def active_records(self, now: float) -> list[CordonRecord]:
+        """Return the records of the cordoned upstreams, the longest cordoned first."""
+        active = [record for record in self._records.values() if record.is_active(now)]
+        return sorted(active, key=lambda record: (record.called_at, record.sequence))
 
     def records(self) -> list[CordonRecord]:
-        """All marks, to be told to another process."""
+        """Return all records, for another process."""
         return list(self._records.values())
 
     def merge(self, records: Iterable[CordonRecord]) -> list[str]:
-        """Take in another's marks; the names of the upstreams of which something new was said."""
+        """Merge another process's records; return the names of the upstreams whose record changed."""
         changed = []
         for record in records:
-            known = self._records.get(record.who)
-            if known is None or _order(record) > _order(known):
+            known = self._records.get(record.upstream)
+            if known is None or _precedence(record) > _precedence(known):
                 self._set(record)
-                changed.append(record.who)
+                changed.append(record.upstream)
         return changed
 
-    def lacks(self, records: Iterable[CordonRecord]) -> bool:
-        """Whether those marks lack something that is known here."""
-        theirs = {record.who: record for record in records}
+    def has_newer_than(self, records: Iterable[CordonRecord]) -> bool:
+        """Return True if a record here is missing among these, or newer than theirs."""
+        theirs = {record.upstream: record for record in records}
         return any(
-            record.who not in theirs or _order(theirs[record.who]) < _order(record)
+            record.upstream not in theirs or _precedence(theirs[record.upstream]) < _precedence(record)
             for record in self._records.values()
         )
 
     def _set(self, record: CordonRecord) -> None:
-        self._records.pop(record.who, None)
-        self._records[record.who] = record
-        self._highest = max(self._highest, record.sequence)
+        self._records.pop(record.upstream, None)
+        self._records[record.upstream] = record
+        self._highest_sequence = max(self._highest_sequence, record.sequence)
         self.revision += 1
-        if len(self._records) > _MOST:  # the oldest word on an upstream that was given back goes first
-            back = next((who for who, m in self._records.items() if not m.out), next(iter(self._records)))
-            del self._records[back]
+        if len(self._records) > _MAX_RECORDS:
+            del self._records[self._least_needed()]
+
+    def _least_needed(self) -> str:
+        """Return the upstream whose record is dropped first: the oldest one of a lifted cordon."""
+        lifted = (name for name, record in self._records.items() if not record.cordoned)
+        return next(lifted, next(iter(self._records)))
 
 
-def _order(record: CordonRecord) -> tuple[int, bool]:
-    """The later call wins; of two that did not know of each other, the one that keeps the upstream out."""
-    return record.sequence, record.out
+def _precedence(record: CordonRecord) -> tuple[int, bool]:
+    """Order records: the later call wins, and of two that were made independently, the cordon."""
+    return record.sequence, record.cordoned
--- a/indigokeel/endpoints/directory.py
+++ b/indigokeel/endpoints/directory.py
@@ -93,7 +93,7 @@
 
     def uncordon(self, now: float, upstream: str) -> list[str] | None:
         """Lift the cordon of an upstream; return the names that changed, or None if it is unknown."""
-        if not self.knows(upstream) and not self.cordons.holds(upstream, now):
+        if not self.knows(upstream) and not self.cordons.is_active(upstream, now):
             return None
         return [upstream] if self.cordons.uncordon(upstream, now) else []
 
@@ -112,7 +112,7 @@
 
     def next_cordon_expiry(self, now: float) -> float:
         """Return the clock time at which the next cordon expires, or infinity."""
-        return self.cordons.next_end(now)
+        return self.cordons.next_expiry(now)
 
     def _change(
         self, now: float, kind: UpdateKind, endpoints: Iterable[Endpoint], version: int = 0
@@ -120,7 +120,7 @@
         is_whole = kind is not UpdateKind.DELTA
         names = list(self._endpoints) if is_whole else [endpoint.name for endpoint in endpoints]
         listed = [self._endpoints[name] for name in names if name in self._endpoints]
-        effective = {endpoint.name: self.cordons.lay(endpoint, now) for endpoint in listed}
+        effective = {endpoint.name: self.cordons.apply(endpoint, now) for endpoint in listed}
         before = self._addresses
         if not is_whole:
             before = {name: self._addresses[name] for name in names if name in self._addresses}
@@ -149,7 +149,7 @@
 
     def _member(self, now: float, endpoint: Endpoint) -> Member:
         listed_start = self.start_times.started(endpoint.name, endpoint.since)
-        started = max(listed_start, self.cordons.given_back_at(endpoint.name, now))
+        started = max(listed_start, self.cordons.lifted_at(endpoint.name, now))
         return Member(
             id=endpoint.name,
             zone=endpoint.zone,
--- a/indigokeel/endpoints/endpoint_list.py
+++ b/indigokeel/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what discovery says of the upstreams, decoded once into plain values."""
+"""The endpoint list: what discovery says of the upstreams, decoded once into plain values. No I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,17 @@
 
 from indigokeel.balancing.events import EndpointState
 
-_STATES = {"Ready": EndpointState.SERVING, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.GONE}
-_WORDS = {state: word for word, state in _STATES.items()}
+Address = tuple[str, int]
+
+_STATES = {
+    "Ready": EndpointState.SERVING,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
+_STATUS_OF_STATE = {state: status for status, state in _STATES.items()}
+_MS_PER_S = 1000.0
+_MAX_PORT = 65535
+_MAX_QUOTED_CHARACTERS = 100  # of an invalid address, in an error's text
 
 
 class EndpointListError(ValueError):
@@ -19,12 +28,12 @@
 
 
 class NotJSONError(EndpointListError):
-    """... for it is no JSON at all, or not yet."""
+    """A message that is no JSON, or not yet complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One upstream as the endpoint list names it."""
+    """One upstream as discovery lists it."""
 
     name: str
     host: str
@@ -39,26 +48,49 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A whole list, or the entries that changed since the version before."""
+    """A snapshot of all endpoints, or the ones that changed since the version before."""
 
     version: int
     is_snapshot: bool
     endpoints: tuple[Endpoint, ...]
 
 
-def parse_address(text: str) -> tuple[str, int]:
-    """Split ``host:port``; an IPv6 host may stand in brackets."""
+def parse_address(text: str) -> Address:
+    """Split ``host:port``, where an IPv6 host may be in brackets; raise ValueError if it is invalid."""
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text[:100]!r}")
+    is_number = port.isascii() and port.isdigit()
+    if not colon or not host or not is_number or not 0 < int(port) <= _MAX_PORT:
+        raise ValueError(f"not an address: {text[:_MAX_QUOTED_CHARACTERS]!r}")
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
-def _endpoint(item: dict[str, Any]) -> Endpoint:
-    # One that is gone needs no address: discovery may know none any more.
+def decode(message: bytes | bytearray | memoryview) -> EndpointList:
+    """Decode one message of discovery; raise EndpointListError if it is invalid."""
+    try:
+        data = orjson.loads(message)
+    except orjson.JSONDecodeError as error:
+        raise NotJSONError(f"not JSON: {error}") from None
+    return parse_endpoint_list(data)
+
+
+def parse_endpoint_list(data: Any) -> EndpointList:
+    """Convert a decoded message to an endpoint list; raise EndpointListError if it is invalid."""
+    try:
+        return EndpointList(
+            version=int(data["index"]),
+            is_snapshot=bool(data["snapshot"]),
+            endpoints=tuple(_parse_endpoint(item) for item in data["endpoints"]),
+        )
+    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise EndpointListError(f"not an endpoint list: {type(error).__name__}: {error}") from None
+
+
+def _parse_endpoint(item: dict[str, Any]) -> Endpoint:
     state = _STATES[item["status"]]
+    # Discovery may know no address of an endpoint that is gone.
     host, port = ("", 0) if state is EndpointState.GONE else parse_address(item["address"])
-    weight, since = float(item.get("weight", 1.0)), float(item.get("since_ms", 0)) / 1000.0
+    weight = float(item.get("weight", 1.0))
+    since = float(item.get("since_ms", 0)) / _MS_PER_S
     if not isinstance(item["name"], str) or not math.isfinite(weight) or not math.isfinite(since):
         raise ValueError("an entry of a wrong shape")
     return Endpoint(
@@ -74,36 +106,15 @@
     )
 
 
-def entry(endpoint: Endpoint) -> dict[str, Any]:
-    """A machine as discovery writes it; ``parse_endpoint_list`` reads the same machine from it again."""
+def encode_endpoint(endpoint: Endpoint) -> dict[str, Any]:
+    """Return an endpoint as discovery writes it; ``parse_endpoint_list`` reads the same endpoint from it."""
     return {
         "name": endpoint.name,
         "address": f"{endpoint.host}:{endpoint.port}",
         "zone": endpoint.zone,
         "type": endpoint.kind,
         "group": endpoint.replica_group,
-        "status": _WORDS[endpoint.state],
+        "status": _STATUS_OF_STATE[endpoint.state],
         "weight": endpoint.weight,
-        "since_ms": round(endpoint.since * 1000.0, 3),
+        "since_ms": round(endpoint.since * _MS_PER_S, 3),
     }
-
-
-def parse_endpoint_list(data: Any) -> EndpointList:
-    """Turn a decoded message into an endpoint list; raises ListError where it is none."""
-    try:
-        return EndpointList(
-            version=int(data["index"]),
-            is_snapshot=bool(data["snapshot"]),
-            endpoints=tuple(_endpoint(item) for item in data["endpoints"]),
-        )
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise EndpointListError(f"not a machine list: {type(error).__name__}: {error}") from None
-
-
-def decode(message: bytes | bytearray | memoryview) -> EndpointList:
-    """Decode one message of discovery."""
-    try:
-        data = orjson.loads(message)
-    except orjson.JSONDecodeError as error:
-        raise NotJSONError(f"not JSON: {error}") from None
-    return parse_endpoint_list(data)
--- a/indigokeel/hot_restart/state_files.py
+++ b/indigokeel/hot_restart/state_files.py
@@ -1,17 +1,14 @@
-"""The files by which the processes of one sidecar tell each other what they know.
+"""The files by which the processes of one sidecar pass on their state.
 
-Each process has two at a time: one with all that it knows, written once a second, and one with the operators'
-marks alone, which is on disk (synced, renamed, and the folder synced) before a call is answered with yes, and
-which outlasts a loss of power. Each is put under a name that no file had before: a new one is written beside
-it, whole by rename, and only then the one before goes.
+Each process has two files at a time: one with all of its state, written once a second, and one with the
+cordons alone, which is on disk (synced, renamed, and the folder synced) before an operator's call is answered
+with success, and which survives a loss of power. Each is written beside the others under a new name, renamed
+once it is complete, and only then is its predecessor removed: some file systems (ext4) flush a file to disk
+when it replaces another, which would block the process for up to a quarter of a second.
 
-Guards against the file system (ext4) that writes a file out to its disk when it takes the place of another:
-that took 77 ms in the middle and up to 270 ms, in which a process moves no request, so that all its attempts
-time out and half of the upstreams go to ejection. Under a new name: 0.3 ms.
-
-A name holds a number, one more than the highest in the folder, and the process's id: the higher number is the
-newer file, whatever the clocks did. Processes of older versions put Unix nanoseconds there, which the numbers
-then go on from.
+A name holds a number, one more than the highest in the folder, and the process's id. The higher number is the
+newer file, whatever the clocks did. Processes of older programs used Unix nanoseconds, from which the numbers
+continue.
 """
 
 from __future__ import annotations
@@ -25,58 +22,69 @@
 from indigokeel.hot_restart import snapshot
 from indigokeel.hot_restart.snapshot import ClockReading, SnapshotError, StateSnapshot
 
-_KEPT = 30.0  # s that a file stays which its process no longer replaces, once another has written
-_MOST = 16  # files read at a time, the newest
-_MOST_NUMBER = 2**62  # a name with a higher one is foreign, and counts as the oldest
+_LEFTOVER_KEPT_S = 30.0  # in which a file of a process that no longer replaces it is kept
+_MAX_FILES_PER_READ = 16  # the newest
+_MAX_NUMBER = 2**62  # a name with a higher number is foreign, and counts as the oldest
+_MAX_NUMBER_DIGITS = 24
+_MAX_NAME_CHARACTERS = 100
+_READ_BYTES = 1 << 16
+_PARTIAL_SUFFIX = "~"
 
 
 class StateFiles:
-    """The files in one folder that the processes share."""
+    """The files in one folder that the processes of a sidecar share."""
 
     def __init__(self, folder: str, name: str) -> None:
-        safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:100]
-        self._folder, self._prefix = Path(folder), f"indigokeel-{safe}.handover."
-        self._found: dict[str, float] = {}  # names in the folder, with the clock time of the first look
-        self._seen: set[str] = set()  # of them, what was read, or is this process's own
-        self._failed: set[str] = set()  # of them, what could not be read, and is tried again after the others
-        self._highest = 0  # number that a name had
-        self._mine: dict[bool, str] = {}  # this process's file that is synced, and the one that is not
-        self._reserved: set[str] = set()  # names that are being written
-        self.synced_lost = False  # somebody took this process's synced file away, as the last look found
-
-    def fresh(self, now: float) -> list[str]:
-        """The names of what was not read yet, newest first. One look at the folder at clock time ``now``;
-        raises OSError where that is not possible. A folder that does not exist holds nothing."""
+        """``name`` is the sidecar's."""
+        safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:_MAX_NAME_CHARACTERS]
+        self._folder = Path(folder)
+        self._prefix = f"indigokeel-{safe_name}.handover."
+        self._found: dict[str, float] = {}  # names in the folder, with the clock time they were first found
+        self._read_names: set[str] = set()  # of them, those that were read, or are this process's own
+        self._failed_names: set[str] = set()  # of them, those whose read failed, which are retried last
+        self._highest_number = 0
+        self._own_names: dict[bool, str] = {}  # this process's file that is synced, and the one that is not
+        self._reserved_names: set[str] = set()  # being written
+        self.synced_lost = False  # this process's synced file was missing when the folder was last listed
+
+    def list_unread(self, now: float) -> list[str]:
+        """List the folder, and return the names that were not read yet, the newest first.
+
+        Raise OSError if that is not possible; a folder that does not exist is empty.
+        """
         try:
             names = [name for name in os.listdir(self._folder) if name.startswith(self._prefix)]
         except FileNotFoundError:
             names = []
         self._found = {name: self._found.get(name, now) for name in names}
-        self._highest = max([self._highest, *map(_number, names)])
-        self._seen.intersection_update(names)
-        self._failed.intersection_update(names)
-        self.synced_lost = True in self._mine and self._mine[True] not in names
-        known = self._seen | self._reserved
-        unread = [name for name in names if name not in known and name[-1] != "~"]
-        return sorted(unread, key=lambda n: (n not in self._failed, _number(n)), reverse=True)[:_MOST]
-
-    def read(self, name: str, clock_reading: ClockReading) -> StateSnapshot | None:
-        """What is in a file, or None where it has gone. Raises HandoverError on what cannot be relied on,
-        which is not read again, or OSError, after which it may be."""
-        self._failed.add(name)
+        self._highest_number = max([self._highest_number, *map(_number, names)])
+        self._read_names.intersection_update(names)
+        self._failed_names.intersection_update(names)
+        self.synced_lost = True in self._own_names and self._own_names[True] not in names
+        known = self._read_names | self._reserved_names
+        unread = [name for name in names if name not in known and not name.endswith(_PARTIAL_SUFFIX)]
+        unread.sort(key=lambda name: (name not in self._failed_names, _number(name)), reverse=True)
+        return unread[:_MAX_FILES_PER_READ]
+
+    def read(self, name: str, reading: ClockReading) -> StateSnapshot | None:
+        """Return the content of a file, or None if it is gone.
+
+        Raise SnapshotError if it is unsound, and it is not read again; or OSError, after which it may be.
+        """
+        self._failed_names.add(name)
         try:
-            data = self._read(name)
+            data = self._read_bytes(name)
         except FileNotFoundError:
             return None
-        self._failed.discard(name)
-        self._seen.add(name)
+        self._failed_names.discard(name)
+        self._read_names.add(name)
         if data is None:
             raise SnapshotError("not a handover")
-        return snapshot.decode(data, clock_reading)
+        return snapshot.decode(data, reading)
 
-    def _read(self, name: str) -> bytes | None:
-        """The bytes of a file, or None where it is none or too large."""
-        # Neither a link nor a pipe that nobody writes to may lead elsewhere or hold this process up.
+    def _read_bytes(self, name: str) -> bytes | None:
+        """Return the bytes of a file, or None if it is no regular file, or too large."""
+        # A link must not lead elsewhere, and a pipe without a writer must not block this process.
         flags = os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC
         try:
             fd = os.open(self._folder / name, flags)
@@ -85,88 +93,95 @@
                 return None
             raise
         try:
-            found = os.fstat(fd)
-            if not stat.S_ISREG(found.st_mode) or found.st_size > snapshot.MOST:
+            status = os.fstat(fd)
+            if not stat.S_ISREG(status.st_mode) or status.st_size > snapshot.MAX_BYTES:
                 return None
             data = b""
-            while len(data) <= found.st_size and (piece := os.read(fd, 1 << 16)):
-                data += piece
+            while len(data) <= status.st_size and (chunk := os.read(fd, _READ_BYTES)):
+                data += chunk
             return data
         finally:
             os.close(fd)
 
     def write(self, data: bytes) -> None:
-        """Put other bytes in the place of this process's file that is not synced; raises OSError where that
-        is not possible, and the one before stays."""
+        """Replace this process's file that is not synced; raise OSError on failure, and keep the former."""
         name = self.reserve()
         try:
             self.put(name, data)
         except OSError:
-            self.give_up(name)
+            self.release(name)
             raise
         self.adopt(name)
 
     def reserve(self) -> str:
-        """A name for ``put``, to be given to ``adopt`` or ``give_up`` afterwards."""
-        self._highest += 1
-        name = f"{self._prefix}{self._highest}-{os.getpid()}"
-        self._reserved.add(name)
+        """Return a new name for ``put``, to be passed to ``adopt`` or ``release`` afterwards."""
+        self._highest_number += 1
+        name = f"{self._prefix}{self._highest_number}-{os.getpid()}"
+        self._reserved_names.add(name)
         return name
 
     def put(self, name: str, data: bytes, synced: bool = False) -> None:
-        """Write a whole file; raises OSError, and leaves none. Changes nothing of this object: it may be
-        called in another thread, for a sync may take as long as the disk is busy."""
-        half, whole = self._folder / (name + "~"), self._folder / name
+        """Write a complete file; raise OSError, and leave none, on failure.
+
+        This changes nothing of the object, so that it may be called in another thread: a sync may take long.
+        """
+        partial = self._folder / (name + _PARTIAL_SUFFIX)
+        complete = self._folder / name
         try:
-            fd = os.open(half, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
-            try:
-                _write(fd, data)
-                if synced:
-                    os.fsync(fd)
-            finally:
-                os.close(fd)
-            half.rename(whole)
+            _write_new_file(partial, data, synced)
+            partial.rename(complete)
             if synced:
                 _sync_folder(self._folder)
         except OSError:
-            for path in (half, whole):
+            for path in (partial, complete):
                 with contextlib.suppress(OSError):
                     path.unlink()
             raise
 
     def adopt(self, name: str, synced: bool = False) -> None:
-        """What was put under this name takes the place of the one before."""
-        self._reserved.discard(name)
-        self._seen.add(name)
-        before = self._mine.get(synced)
-        self._mine[synced] = name
-        if before is not None:
+        """Take a file that was put under this name as this process's own, and remove its predecessor."""
+        self._reserved_names.discard(name)
+        self._read_names.add(name)
+        predecessor = self._own_names.get(synced)
+        self._own_names[synced] = name
+        if predecessor is not None:
             with contextlib.suppress(OSError):
-                (self._folder / before).unlink()
-
-    def give_up(self, name: str) -> None:
-        """Nothing was put under this name."""
-        self._reserved.discard(name)
-
-    def tidy(self, now: float) -> None:
-        """Take away what processes that are gone have left: what has stood in the folder for long and was
-        read here, or is half-written."""
-        own = self._reserved.union(self._mine.values())
-        for name, since in self._found.items():
-            left = name in self._seen or name[-1] == "~"
-            if left and name.rstrip("~") not in own and now - since >= _KEPT:
+                (self._folder / predecessor).unlink()
+
+    def release(self, name: str) -> None:
+        """Release a reserved name that was not used."""
+        self._reserved_names.discard(name)
+
+    def remove_leftovers(self, now: float) -> None:
+        """Remove old files of processes that are gone: those that were read here, or are incomplete."""
+        own = self._reserved_names.union(self._own_names.values())
+        for name, found_at in self._found.items():
+            removable = name in self._read_names or name.endswith(_PARTIAL_SUFFIX)
+            is_own = name.rstrip(_PARTIAL_SUFFIX) in own
+            if removable and not is_own and now - found_at >= _LEFTOVER_KEPT_S:
                 with contextlib.suppress(OSError):
                     (self._folder / name).unlink()
 
 
 def _number(name: str) -> int:
-    """A file's number by its name: the higher, the newer; 0 where that does not tell."""
+    """Return the number in a file's name, or 0 if it has none."""
     digits = name.rpartition(".")[2].partition("-")[0]
-    plain = digits.isdigit() and digits.isascii() and len(digits) < 25
-    return int(digits) if plain and int(digits) < _MOST_NUMBER else 0
+    is_number = digits.isdigit() and digits.isascii() and len(digits) <= _MAX_NUMBER_DIGITS
+    return int(digits) if is_number and int(digits) < _MAX_NUMBER else 0
+
+
+def _write_new_file(path: Path, data: bytes, synced: bool) -> None:
+    flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_NOFOLLOW | os.O_CLOEXEC
+    fd = os.open(path, flags, 0o600)
+    try:
+        _write_all(fd, data)
+        if synced:
+            os.fsync(fd)
+    finally:
+        os.close(fd)
 
 
-def _write(fd: int, data: bytes) -> None:
+def _write_all(fd: int, data: bytes) -> None:
     rest = memoryview(data)
     while rest:
         written = os.write(fd, rest)
@@ -176,7 +191,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """See that a name in the folder outlasts a loss of power, where the file system can say so."""
+    """Make a new name in a folder survive a loss of power, where the file system supports that."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(fd)
--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list from discovery: one call for the whole, or a watch on changes."""
+"""The discovery client: one call for the whole endpoint list, or a watch on its changes."""
 
 from __future__ import annotations
 
@@ -13,251 +13,282 @@
 from indigokeel.net import http
 
 _PATH = b"/catalog/members"
-_CONNECT = 2.0  # s
-# s without a line, of which one comes each 2 s, after which a watch is broken: half as much again. What a
-# silent one misses counts as told 6 s after it fell silent, and it may fall silent before its answer begins.
-# The rest of the 6 s is for the next call, which waits in turn and may be refused once.
-_SILENCE = 3.0
-_WAIT = 6.0  # s for an answer to begin, where the call before had none either: discovery has many callers
-_AGENT = 0.05  # s between calls of an agent that pushes, which serves this machine alone
-_PACE = 32_000  # bytes of a message for which its line gets a second more
-_MOST = 1 << 20  # bytes of one message
-_READ = 64 * 1024  # bytes asked of the connection at a time
+_CONNECT_TIMEOUT_S = 2.0
+# A watch without a line for this long is broken: a line comes every 2 s. What it misses counts as notified
+# 6 s after it fell silent; the rest of that time is for the next call, which may be rejected once.
+_SILENCE_S = 3.0
+_LONG_SILENCE_S = 6.0  # for an answer to begin where the call before had none either: discovery is busy
+_AGENT_INTERVAL_S = 0.05  # between calls of an agent that pushes, which serves this machine alone
+_BYTES_PER_EXTRA_S = 32_000  # of a message, for which its line is given a second more
+_MAX_MESSAGE_BYTES = 1 << 20
+_READ_BYTES = 64 * 1024
 
 
-class _Ending(Enum):
-    """How a call ended: with its answer whole, with none or a bad one, or by saying nothing any more."""
+class _CallEnd(Enum):
+    """How a call ended."""
 
-    WHOLE, FAILED, SILENT = range(3)
+    COMPLETE = "complete"
+    FAILED = "failed"  # without an answer, or with an invalid one
+    SILENT = "silent"  # nothing was received for too long
 
 
 class DiscoveryClient:
-    """Keeps a watch while one is wanted and hands each list on."""
+    """Keeps a watch while one is wanted, and passes each endpoint list on."""
 
     def __init__(
         self,
         address: tuple[str, int],
         counters: Counters,
-        listed: Callable[[EndpointList], None],
-        failed: Callable[[], None],
-        first: Callable[[], None] = lambda: None,
+        on_list: Callable[[EndpointList], None],
+        on_failure: Callable[[], None],
+        on_first_answer: Callable[[], None] = lambda: None,
     ) -> None:
-        """``listed`` takes each list, ``failed`` is called for each call that failed or watch that ended,
-        ``first`` once, before the list of the first call that was answered."""
-        self._address, self._counters = address, counters
-        self._listed, self._failed, self._first = listed, failed, first
-        self._watches: dict[int, asyncio.Task[None]] = {}  # by serial number: one, but while it moves
-        self._begun = 0  # watches so far
-        self._open: dict[asyncio.StreamWriter, int] = {}  # calls that are up, with their descriptors
+        """Create a client of the discovery service at ``address``.
+
+        ``on_list`` takes each list, ``on_failure`` is called for each call that failed and each watch that
+        ended, ``on_first_answer`` once, before the first list of the first call that was answered.
+        """
+        self._address = address
+        self._counters = counters
+        self._on_list = on_list
+        self._on_failure = on_failure
+        self._on_first_answer = on_first_answer
+        self._watches: dict[int, asyncio.Task[None]] = {}  # by serial number; two while the watch moves
+        self._last_watch = 0
+        self._connections: dict[asyncio.StreamWriter, int] = {}  # the open ones, with their descriptors
         self.version = 0
         self.pushed = False  # lists come from an agent of this machine: the watch is kept without an order
-        self.answered = False  # once a call was: what changed since the version asked for comes at once
+        self.answered = False  # a call was answered, so that changes since ``version`` arrive at once
 
     def descriptors(self) -> list[int]:
-        """The descriptors of the calls that are up."""
-        return list(self._open.values())
+        """Return the descriptors of the open connections."""
+        return list(self._connections.values())
 
     async def watch(self) -> None:
-        """Watch until it ends, then say so once. One watch at a time."""
-        if self._begun not in self._watches:
+        """Watch until the watch ends, and report that; do nothing if there is one already."""
+        if self._last_watch not in self._watches:
             await self._watch()
 
     async def move(self, address: tuple[str, int]) -> None:
-        """Discovery listens elsewhere now: watch there at once. The old watch goes on until the new one
-        is up, so that no update is missed between them."""
+        """Watch at another address. The old watch is kept until the new one is answered."""
         if address == self._address:
-            if self.pushed:  # kept for good, whatever ended the last one
+            if self.pushed:  # the watch is kept, whatever ended the last one
                 await self.watch()
             return
         self._address = address
         self._counters.add("discovery_moves")
         await self._watch()
 
-    async def _watch(self) -> None:
-        self._begun += 1
-        mine = self._begun
+    async def fetch(self) -> None:
+        """Call for the whole list once."""
+        end = _CallEnd.FAILED
+        try:
+            end = await self._call(_PATH)
+        except Exception as error:
+            self._counters.add("task_faults")
+            self._counters.log(f"fault in a call to discovery: {type(error).__name__}: {error}", "error")
+        if end is not _CallEnd.COMPLETE:
+            self._on_failure()
 
-        def up() -> None:
-            for serial, older in self._watches.items():
-                if serial < mine:
-                    older.cancel()
+    # --- watching -------------------------------------------------------------------------------------
 
+    async def _watch(self) -> None:
+        self._last_watch += 1
+        serial = self._last_watch
         task = asyncio.current_task()
         assert task is not None
-        self._watches[mine] = task
+        self._watches[serial] = task
         try:
-            await self._keep_watching(up)
+            await self._keep_watching(lambda: self._end_older_watches(serial))
         except asyncio.CancelledError:
-            if mine == self._begun:  # not by a newer watch, but because the program ends
+            if serial == self._last_watch:  # the process ends
                 raise
-            task.uncancel()
-        except Exception as error:  # whatever it was, the watch has ended, and who waits for it is told so
+            task.uncancel()  # a newer watch has replaced this one
+        except Exception as error:  # the watch has ended all the same, which is reported
             self._counters.add("task_faults")
             self._counters.log(f"fault in the watch: {type(error).__name__}: {error}", "error")
-            if self.pushed:  # nobody would order the next one: this one's owner starts it again
+            if self.pushed:  # nobody would order the next watch, so the supervisor restarts this one
                 raise
         finally:
-            del self._watches[mine]
-        if mine == self._begun:  # else a newer one has taken its place
+            del self._watches[serial]
+        if serial == self._last_watch:
             self._counters.add("watches_ended")
-            self._failed()
+            self._on_failure()
+
+    def _end_older_watches(self, serial: int) -> None:
+        for other, task in self._watches.items():
+            if other < serial:
+                task.cancel()
+
+    async def _keep_watching(self, on_answer: Callable[[], None]) -> None:
+        """Watch until a call ends for another reason than silence.
 
-    async def _keep_watching(self, up: Callable[[], None]) -> None:
-        """Watch until a call ends otherwise than by silence. One that falls silent is opened anew at once:
-        no answer said that discovery has too many callers, and what it misses is bound to a clock. Where
-        lists are pushed, a watch is wanted for good: what the agent has counts as told without one, too."""
-        patience, clock = _SILENCE, asyncio.get_running_loop().time
+        A silent watch is opened again at once, because what it misses has to be notified in time. Where lists
+        are pushed this never returns: what the agent has counts as notified also without a watch.
+        """
+        clock = asyncio.get_running_loop().time
+        silence_s = _SILENCE_S
         while True:
-            answered, begun = False, clock()
+            started_at = clock()
+            answered = False
 
-            def answering() -> None:
+            def answer() -> None:
                 nonlocal answered
                 answered = True
-                up()
+                on_answer()
 
             target = b"%s?watch=1&after=%d" % (_PATH, self.version)
-            ending = await self._call(target, answering, patience)
-            if ending is _Ending.SILENT:
+            end = await self._call(target, answer, silence_s)
+            if end is _CallEnd.SILENT:
                 self._counters.add("watches_silent")
             if self.pushed:
-                await asyncio.sleep(max(begun + _AGENT - clock(), 0.0))
-            elif ending is not _Ending.SILENT or (not answered and patience == _WAIT):
+                await asyncio.sleep(max(started_at + _AGENT_INTERVAL_S - clock(), 0.0))
+            elif end is not _CallEnd.SILENT or (not answered and silence_s == _LONG_SILENCE_S):
                 return
-            patience = _WAIT if ending is _Ending.SILENT and not answered else _SILENCE
+            silence_s = _LONG_SILENCE_S if end is _CallEnd.SILENT and not answered else _SILENCE_S
 
-    async def fetch(self) -> None:
-        """Ask for the whole list once."""
-        ending = _Ending.FAILED
-        try:
-            ending = await self._call(_PATH)
-        except Exception as error:
-            self._counters.add("task_faults")
-            self._counters.log(f"fault in a call to discovery: {type(error).__name__}: {error}", "error")
-        if ending is not _Ending.WHOLE:
-            self._failed()
+    # --- calls ----------------------------------------------------------------------------------------
 
     async def _call(
-        self, target: bytes, up: Callable[[], None] = lambda: None, patience: float = _WAIT
-    ) -> _Ending:
-        """Hand on each message of one call. ``up`` is called once it is answered, which may take
-        ``patience`` seconds."""
+        self, target: bytes, on_answer: Callable[[], None] = lambda: None, timeout_s: float = _LONG_SILENCE_S
+    ) -> _CallEnd:
+        """Pass on each list of one call. ``on_answer`` is called once its answer begins, within
+        ``timeout_s`` seconds."""
         self._counters.add("discovery_calls")
         writer = None
         try:
-            async with asyncio.timeout(_CONNECT):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self._address)
-            self._open[writer] = writer.get_extra_info("socket").fileno()
+            self._connections[writer] = writer.get_extra_info("socket").fileno()
             writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target, http.host(self._address)))
-            answer = _Answer(reader)
-            async with asyncio.timeout(patience):
-                await answer.head()
-            if answer.status != 200:
+            response = _DiscoveryResponse(reader)
+            async with asyncio.timeout(timeout_s):
+                await response.read_head()
+            if response.status != 200:
                 self._counters.add("discovery_refusals")
-                return _Ending.FAILED
-            if not self.answered:
-                self.answered = True
-                self._first()
-            up()
-            async for update in answer.lists():
-                if not update.is_snapshot and update.version < self.version:
-                    continue  # the watch before this one has told it already, and more
-                self._counters.add("endpoint_lists")
-                self._listed(update)
-                self.version = update.version  # of what was taken in: a list that was not is asked for again
-            return _Ending.WHOLE
-        except Exception as error:
-            # Broken, too slow, not an endpoint list: whatever it was, the call has failed and is told so,
-            # or the module would wait for ever and the list grow old.
+                return _CallEnd.FAILED
+            self._record_answer()
+            on_answer()
+            async for update in response.lists():
+                self._pass_on(update)
+            return _CallEnd.COMPLETE
+        except Exception as error:  # whatever it was, the call has failed, and the list must not grow old
             self._counters.add("discovery_failures")
             self._counters.log(f"discovery: {type(error).__name__}: {error}")
-            silent = writer is not None and isinstance(error, TimeoutError)
-            return _Ending.SILENT if silent else _Ending.FAILED
+            is_silent = writer is not None and isinstance(error, TimeoutError)
+            return _CallEnd.SILENT if is_silent else _CallEnd.FAILED
         finally:
             if writer is not None:
-                self._open.pop(writer, None)
+                self._connections.pop(writer, None)
                 writer.transport.abort()
 
+    def _record_answer(self) -> None:
+        if not self.answered:
+            self.answered = True
+            self._on_first_answer()
+
+    def _pass_on(self, update: EndpointList) -> None:
+        if not update.is_snapshot and update.version < self.version:
+            return  # an earlier watch has passed on this and more
+        self._counters.add("endpoint_lists")
+        self._on_list(update)
+        self.version = update.version  # a list that could not be applied is requested again
+
 
-class _Answer:
-    """Reads one answer of discovery, whose body may go on for ever. httptools calls the ``on_`` methods."""
+class _DiscoveryResponse:
+    """Reads one response, whose body may never end. httptools calls the ``on_`` methods."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         self._reader = reader
         self._parser = httptools.HttpResponseParser(self)
-        self._rest = b""
-        self._complete = self._framed = False
+        self._unread = b""  # of the body
+        self._is_complete = False
+        self._is_framed = False  # its head tells where it ends
         self.status = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._framed = self._framed or name.lower() in (b"content-length", b"transfer-encoding")
+        """Take a header."""
+        self._is_framed = self._is_framed or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
+        """Take the status."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        self._rest += data
+        """Take a part of the body."""
+        self._unread += data
 
     def on_message_complete(self) -> None:
-        self._complete = self.status >= 200
+        """Note the end, unless it is that of an interim response."""
+        self._is_complete = self.status >= 200
 
     async def _read(self) -> bool:
-        data = await self._reader.read(_READ)
+        """Read once; return False at the end of the connection."""
+        data = await self._reader.read(_READ_BYTES)
         if data:
             self._parser.feed_data(data)
-        elif self._framed and not self._complete:
+        elif self._is_framed and not self._is_complete:
             raise EndpointListError("the answer breaks off")
         return bool(data)
 
-    async def head(self) -> None:
-        """Wait for the head of the final answer."""
-        size = 0
+    async def read_head(self) -> None:
+        """Read until the head of the final response is complete."""
+        reads = 0
         while self.status < 200:
-            size += 1
-            if size > _MOST // _READ or not await self._read():
+            reads += 1
+            if reads > _MAX_MESSAGE_BYTES // _READ_BYTES or not await self._read():
                 raise EndpointListError("an answer without a head")
 
     async def lists(self) -> AsyncIterator[EndpointList]:
-        """The lists of the body: each on one line, or indented over many. Empty lines, which only show that
-        it lives, are left out. Raises TimeoutError once it is silent: where no line becomes whole in time,
-        whatever bytes come, or no message does."""
+        """Yield the lists of the body, each on one line or indented over many; skip empty lines.
+
+        Raise TimeoutError where no line, or no message, is completed in time, whatever bytes arrive.
+        """
         clock = asyncio.get_running_loop().time
-        heard, more, begun = clock(), True, b""  # a message that goes on over lines
-        while more:
-            *whole, self._rest = self._rest.split(b"\n")
-            if len(begun) + len(self._rest) > _MOST:
+        heard_at = clock()
+        partial = b""  # the lines so far of a message that continues
+        has_more = True
+        while has_more:
+            *lines, self._unread = self._unread.split(b"\n")
+            if len(partial) + len(self._unread) > _MAX_MESSAGE_BYTES:
                 raise EndpointListError("a message without an end")
-            for line in whole:
-                if line.strip():
-                    update = _read_list(begun, line)
-                    begun = b"" if update is not None else begun + line
-                    if update is not None:
-                        yield update
-            if whole and not begun:
-                heard = clock()
-            if self._complete:
+            for line in lines:
+                if not line.strip():
+                    continue
+                update = _read_list(partial, line)
+                if update is None:
+                    partial += line
+                else:
+                    partial = b""
+                    yield update
+            if lines and not partial:
+                heard_at = clock()
+            if self._is_complete:
                 break
-            size = len(begun) + len(self._rest)
-            async with asyncio.timeout_at(heard + _SILENCE + size / _PACE):
-                more = await self._read()
-        if begun or self._rest.strip():
-            yield decode(begun + self._rest)
+            size = len(partial) + len(self._unread)
+            async with asyncio.timeout_at(heard_at + _SILENCE_S + size / _BYTES_PER_EXTRA_S):
+                has_more = await self._read()
+        if partial or self._unread.strip():
+            yield decode(partial + self._unread)
+
 
+def _read_list(partial: bytes, line: bytes) -> EndpointList | None:
+    """Return the list that ends with this line, or None if it continues; ``partial`` are its lines before.
 
-def _read_list(begun: bytes, line: bytes) -> EndpointList | None:
-    """The list that ends with this line, or None where it goes on; ``begun`` is what came of it before.
-    Raises ListError on a line that belongs to none."""
+    Raise EndpointListError on a line that belongs to no list.
+    """
     text = line.strip()
-    if not begun and text[:1] != b"{":
+    if not partial and text[:1] != b"{":
         raise EndpointListError("a line that is no list")
     if not text.endswith(b"}"):
-        # It may go on, but between two of its parts: no string holds the end of a line, and ``{`` opens one.
-        if text.count(b'"') % 2 or (not begun and text[1:].lstrip()[:1] not in (b"", b'"')):
+        # It may continue, but only between two of its parts: no string spans lines, and ``{`` opens one.
+        if text.count(b'"') % 2 or (not partial and text[1:].lstrip()[:1] not in (b"", b'"')):
             raise EndpointListError("a line that breaks off")
         return None
     try:
-        return decode(begun + line)
+        return decode(partial + line)
     except NotJSONError:
-        # The last of an indented list's entries ends so, too; a whole object on its line is the next list.
-        if not begun or line.startswith(b"{"):
+        # The last entry of an indented list ends so, too; an object that begins this line is the next list.
+        if not partial or line.startswith(b"{"):
             raise
         return None
--- a/indigokeel/process/counter_report.py
+++ b/indigokeel/process/counter_report.py
@@ -36,7 +36,7 @@
         self._counters.dump(
             requests_unanswered=self._coordinator.unanswered,
             balancer_faults=self._coordinator.faults,
-            cordoned=len(self._coordinator.cordons.out(time.monotonic())),
+            cordoned=len(self._coordinator.cordons.active_records(time.monotonic())),
             client_connections_open=len(self._clients),
             upstream_connections_open=self._upstream_client.open,
             upstream_connections_idle=connections.idle(),
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -186,9 +186,14 @@
 def test_after_a_boot_cordons_stay_and_ages_are_unknown(here: ClockReading) -> None:
     found = snapshot.decode(LEFT, here)
     out, back, ends = found.records
-    assert (out.who, out.out, out.until, out.sequence) == ("s-0", True, math.inf, 7) and out.holds(here.clock)
-    assert (back.out, back.at) == (False, here.clock - 10.0)
-    assert ends.until == here.clock + 60.0  # what was left as it was written
+    assert (out.upstream, out.cordoned, out.expires_at, out.sequence) == (
+        "s-0",
+        True,
+        math.inf,
+        7,
+    ) and out.is_active(here.clock)
+    assert (back.cordoned, back.called_at) == (False, here.clock - 10.0)
+    assert ends.expires_at == here.clock + 60.0  # what was left as it was written
     assert found.known == KNOWN and found.learned is None and found.starts is None
 
 
@@ -209,13 +214,13 @@
     """Also where the wall clock says that it is from the future."""
     here = ClockReading(50.0, "b1", 50.0 - (1001.0 + step))
     found = snapshot.decode(FIRST_FORM, here)
-    assert [(m.who, m.out, m.sequence) for m in found.records] == [
+    assert [(m.upstream, m.cordoned, m.sequence) for m in found.records] == [
         ("s-0", True, 900_000_000),
         ("s-1", False, 990_000_000),
         ("s-2", True, 950_000_000),
     ]
-    assert found.records[0].holds(here.clock) and found.known == KNOWN
-    assert all(mark.at <= here.clock for mark in found.records) and found.learned is not None
+    assert found.records[0].is_active(here.clock) and found.known == KNOWN
+    assert all(mark.called_at <= here.clock for mark in found.records) and found.learned is not None
     assert found.learned.figures[OFFSET] == here.unix_to_clock
     assert found.learned.at == pytest.approx(min(here.clock - 1.0 - step, here.clock))
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -16,7 +16,7 @@
 
 from indigokeel.balancing.events import AttemptOutcome, EndpointState
 from indigokeel.endpoints.cordons import CordonRecord, Cordons
-from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList, entry, parse_endpoint_list
+from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList, encode_endpoint, parse_endpoint_list
 from indigokeel.hot_restart import snapshot
 from indigokeel.hot_restart.snapshot import ClockReading, LearnedState, SnapshotError
 from indigokeel.hot_restart.state_files import StateFiles
@@ -141,11 +141,13 @@
     one.merge(left)
     two.merge(right)
     one.merge(two.records())
-    theirs = {record.who: record for record in two.records()}
-    assert one.lacks(two.records()) == ({record.who: record for record in one.records()} != theirs)
+    theirs = {record.upstream: record for record in two.records()}
+    assert one.has_newer_than(two.records()) == (
+        {record.upstream: record for record in one.records()} != theirs
+    )
     two.merge(one.records())
-    assert not two.lacks(one.records())
-    assert {m.who: m for m in one.records()} == {m.who: m for m in two.records()}
+    assert not two.has_newer_than(one.records())
+    assert {m.upstream: m for m in one.records()} == {m.upstream: m for m in two.records()}
     assert one.merge(two.records()) == []
 
 
@@ -155,7 +157,7 @@
     two.merge(one.records())
     two.uncordon("s", 50.0)
     one.merge(two.records())
-    assert not one.holds("s", 100.0)
+    assert not one.is_active("s", 100.0)
 
 
 MARK = CordonRecord("s-0", True, NOW - 1.0, sequence=3)
@@ -166,7 +168,7 @@
     left = LearnedState({"a": 1}, NOW - 2.0)
     assert snapshot.decode(LEFT, HERE) == snapshot.StateSnapshot((MARK,), EndpointList(7, True, NODES), left)
     old = snapshot.encode(HERE, [CordonRecord("a", False, NOW - 700.0), CordonRecord("b", True, NOW - 700.0)])
-    assert [mark.who for mark in snapshot.decode(old, HERE).records] == ["b"]
+    assert [mark.upstream for mark in snapshot.decode(old, HERE).records] == ["b"]
 
 
 def _forged(body: bytes, version: int = 1) -> bytes:
@@ -195,7 +197,7 @@
         LEFT.replace(b"s-0", b"s-9", 1),
         LEFT.replace(b"handover 1", b"handover 2", 1),
         b"#!/bin/sh\n",
-        b"x" * (snapshot.MOST + 1),
+        b"x" * (snapshot.MAX_BYTES + 1),
         _forged(b"[]"),
         _forged(b"{}"),
         _forged(b'{"marks":[{}]}'),
@@ -234,7 +236,7 @@
 )
 def test_machine_is_read_as_it_was_written(endpoint: Endpoint) -> None:
     """To the bit: a start that differs at all would make the upstream one that has started since."""
-    data = orjson.loads(orjson.dumps(entry(endpoint)))
+    data = orjson.loads(orjson.dumps(encode_endpoint(endpoint)))
     assert parse_endpoint_list({"index": 1, "snapshot": True, "endpoints": [data]}).endpoints == (endpoint,)
 
 
@@ -329,11 +331,11 @@
     one, two = StateFiles(str(tmp_path), "n/0"), StateFiles(str(tmp_path), "n/0")
     for _ in range(3):
         one.write(LEFT)
-    assert one.fresh(NOW) == [] and len(os.listdir(tmp_path)) == 1
-    (name,) = two.fresh(NOW)
-    assert two.read(name, HERE) == snapshot.decode(LEFT, HERE) and two.fresh(NOW) == []
+    assert one.list_unread(NOW) == [] and len(os.listdir(tmp_path)) == 1
+    (name,) = two.list_unread(NOW)
+    assert two.read(name, HERE) == snapshot.decode(LEFT, HERE) and two.list_unread(NOW) == []
     two.write(LEFT)
-    assert len(os.listdir(tmp_path)) == 2 and len(one.fresh(NOW)) == 1
+    assert len(os.listdir(tmp_path)) == 2 and len(one.list_unread(NOW)) == 1
     assert two.read("indigokeel-n_0.handover.9-9", HERE) is None  # gone meanwhile
 
 
@@ -346,14 +348,14 @@
     for path in (*left, foreign):
         path.write_bytes(LEFT)
     unread, read, half = (path.name for path in left)
-    assert files.fresh(NOW) == [read, unread]
+    assert files.list_unread(NOW) == [read, unread]
     assert files.read(read, HERE)
     files.write(LEFT)
-    files.fresh(NOW + 29.9)
-    files.tidy(NOW + 29.9)
+    files.list_unread(NOW + 29.9)
+    files.remove_leftovers(NOW + 29.9)
     assert len(os.listdir(tmp_path)) == 5
-    files.fresh(NOW + 30.0)
-    files.tidy(NOW + 30.0)
+    files.list_unread(NOW + 30.0)
+    files.remove_leftovers(NOW + 30.0)
     assert not (tmp_path / read).exists() and not (tmp_path / half).exists()
     assert left[0].exists() and foreign.exists() and len(os.listdir(tmp_path)) == 3
 
@@ -365,14 +367,14 @@
     (tmp_path / f"indigokeel-n0.handover.{time.time_ns()}-1").write_bytes(LEFT)  # of an older version
     one, two, reader = (StateFiles(str(tmp_path), "n0") for _ in range(3))
     monkeypatch.setattr(os, "getpid", lambda: 8)
-    one.fresh(NOW)
+    one.list_unread(NOW)
     one.write(LEFT)
     stepped = time.time_ns() + step
     monkeypatch.setattr(time, "time_ns", lambda: stepped)
     monkeypatch.setattr(os, "getpid", lambda: 7)
-    two.fresh(NOW)
+    two.list_unread(NOW)
     two.write(LEFT)
-    assert [name.rpartition("-")[2] for name in reader.fresh(NOW)] == ["7", "8", "1"]
+    assert [name.rpartition("-")[2] for name in reader.list_unread(NOW)] == ["7", "8", "1"]
 
 
 def test_file_is_never_put_in_the_place_of_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -395,4 +397,4 @@
 def test_folder_that_cannot_be_written_is_an_error_and_leaves_nothing(tmp_path: Path) -> None:
     with pytest.raises(OSError):
         StateFiles(str(tmp_path / "none"), "n0").write(LEFT)
-    assert StateFiles(str(tmp_path / "none"), "n0").fresh(NOW) == []
+    assert StateFiles(str(tmp_path / "none"), "n0").list_unread(NOW) == []
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -176,7 +176,7 @@
         for _ in range(10):
             assert program.ask(request())[0] == 200
         assert len(upstreams[0].got) == had and program.counters()["state_files_unwritten"] >= 2
-        assert program.log.read_text().count("nothing can be left") == 1
+        assert program.log.read_text().count("cannot write state for the next process") == 1
         (tmp_path / "none").mkdir()  # it is tried on until it is stored
         until(lambda: program.call("PUT", "cordon", "s-0") == 200)
 
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -45,7 +45,7 @@
     """What a process that starts finds to be out."""
     coordinator, persistence = _process(folder)
     asyncio.run(persistence.restore())
-    return {mark.who for mark in coordinator.cordons.records()}
+    return {mark.upstream for mark in coordinator.cordons.records()}
 
 
 GOOD = _state("s-0")
@@ -77,7 +77,7 @@
             write(_state("s-0", "s-1"))
         if call == "listdir":
             with pytest.raises(OSError):
-                files.fresh(HERE.clock)
+                files.list_unread(HERE.clock)
     assert _cordoned(tmp_path) == ({"s-0"} if affected else {"s-0", "s-1"})
     assert not any(name.endswith("~") for name in os.listdir(tmp_path))
     write(_state("s-0", "s-1", "s-2"))
@@ -113,7 +113,7 @@
 def test_files_of_others_stay_until_their_marks_are_stored_by_this_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(state_files, "_KEPT", 0.0)
+    monkeypatch.setattr(state_files, "_LEFTOVER_KEPT_S", 0.0)
     monkeypatch.setattr(state_persistence, "_WRITE_INTERVAL_S", 0.0)
     good, (coordinator, persistence) = tmp_path / (PREFIX + "5-5"), _process(tmp_path)
     good.write_bytes(GOOD)
@@ -151,7 +151,7 @@
     "zeros": bytes(len(GOOD)),
     "flipped": GOOD[:-3] + bytes([GOOD[-3] ^ 1]) + GOOD[-2:],
     "foreign": b"#!/bin/sh\n",
-    "large": b"x" * (snapshot.MOST + 1),
+    "large": b"x" * (snapshot.MAX_BYTES + 1),
 }
 
 
@@ -263,7 +263,7 @@
     def fail(now: float) -> list[str]:
         raise RuntimeError("unforeseen")
 
-    monkeypatch.setattr(files, "fresh", fail)
+    monkeypatch.setattr(files, "list_unread", fail)
 
     async def play() -> None:
         task = asyncio.create_task(state.synchronise(lambda: False))
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -272,7 +272,7 @@
             file.write_bytes(left)
         program = start()
         assert program.ask(request())[0] == 200
-        assert program.log.read_text().count("nothing is taken over") == 1
+        assert program.log.read_text().count("state of the previous process ignored") == 1
         assert program.call("PUT", "cordon", "s-0") == 200 and program.counters()["cordoned"] == 1
 
 
@@ -285,4 +285,4 @@
         else:
             process = start_process(good.config, subprocess.PIPE, BALANCER_LISTEN_FD="7")
         told = process.communicate(timeout=WAIT)[1]
-        assert process.returncode == 1 and b"descriptor 7 is no socket that listens" in told
+        assert process.returncode == 1 and b"descriptor 7 is not a listening socket" in told
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -153,7 +153,7 @@
         if len(asked) == 1:
             raise ZeroDivisionError
 
-    monkeypatch.setattr(found.discovery, "_listed", listed)
+    monkeypatch.setattr(found.discovery, "_on_list", listed)
     found.run(3.0)
     assert asked == [0, 0] and found.discovery.version == 1
 
