--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -155,6 +155,6 @@
     except OSError:
         is_listening = 0
     if not is_listening:
-        raise OSError(errno.ENOTSOCK, f"descriptor {fd} is not a listening socket")
+        raise OSError(errno.ENOTSOCK, f"descriptor {fd} is no socket that listens")
     sock.setblocking(False)
     return sock
