--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -16,7 +16,7 @@
 from indigokeel.net.upstream.backoff import Backoff
 from indigokeel.net.upstream.circuit_breaker import Address
 from indigokeel.net.upstream.connection import UpstreamConnection
-from indigokeel.net.upstream.delayed_release import DelayedRelease
+from indigokeel.net.upstream.connection_releaser import ConnectionReleaser
 from indigokeel.net.upstream.idle_resets import IdleResetEstimator
 from indigokeel.net.upstream.request_head import head_after_timeout, head_before_timeout
 from indigokeel.net.upstream.upstream_exchange import UpstreamExchange
@@ -75,15 +75,11 @@
 
     policy: AttemptPolicy
     connections: ConnectionProvider
-    delayed_release: DelayedRelease
+    releaser: ConnectionReleaser
     idle_resets: IdleResetEstimator
     counters: Counters
     owner: AttemptOwner
 
-    def has_moved(self, connection: UpstreamConnection) -> bool:
-        """Return whether an upstream accepts no requests any more, or none at a connection's address."""
-        return self.policy.address(connection.upstream) != connection.address
-
 
 class AttemptSender:
     """One attempt in flight (OnResult of its waiter, Call of its exchange)."""
@@ -124,7 +120,7 @@
 
     @property
     def is_cancellable(self) -> bool:
-        """Whether the attempt waits for something, rather than being sent at this moment."""
+        """Whether the attempt waits for something, rather than being sent right now."""
         return self._pending is not None
 
     def connect(self, now: float) -> None:
@@ -151,7 +147,8 @@
 
     def cancel(self) -> None:
         """Stop the attempt and close its connection; ``on_ended`` is not called."""
-        pending, self._pending = self._pending, None
+        pending = self._pending
+        self._pending = None
         if isinstance(pending, UpstreamConnection):
             self._services.connections.close(pending)
         elif isinstance(pending, ConnectionWaiter):
@@ -162,8 +159,8 @@
     def build_message(self) -> list[bytes] | None:
         """Return the message, or None if it must not be sent any more (Call).
 
-        The client is asked after the clock, as it allows the least delay: a request may be timed out up to
-        0.15 s late, but must not be sent 0.1 s after its client has disconnected. The checks after it make no
+        The client is asked after the clock: if the process is held up in between, a timeout that is sent too
+        long does less harm than an attempt for a client that has disconnected. The checks after it make no
         system call.
         """
         connection = self._connection
@@ -180,7 +177,7 @@
             self._was_abandoned = True
             return None
         services = self._services
-        if remaining_ms < 1 or services.has_moved(connection):
+        if remaining_ms < 1 or not services.releaser.is_current(connection):
             return None
         return message if services.policy.may_begin(now, self.attempt) else None
 
@@ -208,7 +205,7 @@
             services.idle_resets.record(time.monotonic(), self._idle_s, was_reset)
         if is_reusable:
             assert self._exchange is not None
-            services.delayed_release.schedule(connection, self._exchange)
+            services.releaser.release_later(connection, self._exchange)
         else:
             services.connections.release(connection, False)
         if not self._is_streaming:
@@ -238,20 +235,16 @@
             is_sent = exchange.send(self, self._outbound.request_stream)
         except LocalError as error:
             services.counters.add("writes_not_begun")
-            self._return_unused(connection)
+            services.releaser.release_unused(connection)
             self._retry_later(error)
             return
         if is_sent:
             services.counters.add("attempts_sent")
             self._pending = connection
             return
-        self._return_unused(connection)
+        services.releaser.release_unused(connection)
         self._end_unsent()
 
-    def _return_unused(self, connection: UpstreamConnection) -> None:
-        services = self._services
-        services.connections.release(connection, not services.has_moved(connection))
-
     def _end_unsent(self) -> None:
         """End an attempt that failed the last checks.
 
@@ -275,6 +268,7 @@
         self._pending = asyncio.get_running_loop().call_later(delay_s, self._retry)
 
     def _retry(self) -> None:
+        self._pending = None
         self.connect(time.monotonic())
 
     def _end(self, response: UpstreamResponse) -> None:
--- a/indigokeel/net/upstream/circuit_breaker.py
+++ b/indigokeel/net/upstream/circuit_breaker.py
@@ -1,7 +1,7 @@
 """Circuit breakers for connects: after consecutive failures, connects to an address stop for a while.
 
 Closed, open and half-open as in Nygard, "Release It!". The open time has full jitter (Brooker, "Exponential
-Backoff And Jitter"), so that many sidecars do not retry an upstream at the same moment.
+Backoff And Jitter"), so that many sidecars do not retry an upstream at the same time.
 """
 
 from __future__ import annotations
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -8,10 +8,9 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.net.upstream.attempt_sender import AttemptSender, AttemptServices, OnEnded
-from indigokeel.net.upstream.connection import UpstreamConnection
 from indigokeel.net.upstream.connection_pool import ConnectionPool, PoolOptions
+from indigokeel.net.upstream.connection_releaser import ConnectionReleaser
 from indigokeel.net.upstream.connection_table import ConnectionLimits
-from indigokeel.net.upstream.delayed_release import DelayedRelease
 from indigokeel.net.upstream.health_check import HealthChecker, HealthCheckResult
 from indigokeel.net.upstream.telemetry import Telemetry
 from indigokeel.net.upstream.upstream_exchange import UpstreamExchange
@@ -58,12 +57,10 @@
             Telemetry(counters.add, lambda level, text: counters.log(text, level), time.monotonic),
             PoolOptions(seed, connect_timeout, keepalive * _MAX_IDLE_RATIO),
         )
-        delayed_release = DelayedRelease(self.connections, counters, self._is_current)
-        self._health_checker = HealthChecker(
-            self.connections, delayed_release, coordinator.address, connect_timeout
-        )
+        releaser = ConnectionReleaser(self.connections, counters, coordinator.address)
+        self._health_checker = HealthChecker(self.connections, releaser, coordinator.address, connect_timeout)
         self._services = AttemptServices(
-            coordinator, self.connections, delayed_release, self.connections.idle_resets, counters, self
+            coordinator, self.connections, releaser, self.connections.idle_resets, counters, self
         )
 
     def apply_timeouts(self, connect_timeout: float, keepalive: float) -> None:
@@ -140,6 +137,3 @@
         """Return how long an attempt may wait for its connection, from the time that it has left."""
         minimum_s = min(_MIN_CONNECT_TIME_S, remaining_s * _MAX_CONNECT_TIME_RATIO)
         return min(self._connect_timeout_s, max(remaining_s * _CONNECT_TIME_RATIO, minimum_s))
-
-    def _is_current(self, connection: UpstreamConnection) -> bool:
-        return self._coordinator.address(connection.upstream) == connection.address
--- a/indigokeel/net/upstream/connection.py
+++ b/indigokeel/net/upstream/connection.py
@@ -161,9 +161,10 @@
 
     def close(self) -> None:
         """Close the connection at once, without a notification. May be called again."""
-        sock, self._sock = self._sock, None
+        sock = self._sock
         if sock is None:
             return
+        self._sock = None
         self._cancel_connect_timer()
         self._stop_watching_connect()
         self._reader.close()
--- a/indigokeel/net/upstream/connector.py
+++ b/indigokeel/net/upstream/connector.py
@@ -102,14 +102,14 @@
         self._breakers.on_connect_cancelled(connection.upstream, connection.address)
         self._suspend(connection.upstream, connection.address, error)
 
-    def on_surplus(self, connection: UpstreamConnection, waiting_since: float | None) -> None:
-        """Record a connect that is about to be cancelled because a waiter has left.
+    def on_connect_cancelled(self, connection: UpstreamConnection, timed_out_since: float | None) -> None:
+        """Record a connect that is about to be cancelled, as fewer are needed.
 
-        ``waiting_since`` is when the waiter came, if it ran out of time; a connect that had all of this time
-        counts as failed.
+        ``timed_out_since`` is the start of a wait that has timed out; a connect that was in progress for all
+        of it counts as failed.
         """
         started_at = self._started_at.get(connection)
-        if waiting_since is not None and (started_at is None or started_at <= waiting_since):
+        if timed_out_since is not None and (started_at is None or started_at <= timed_out_since):
             self.on_connect_failed(connection.upstream, connection.address)
         else:
             self._breakers.on_connect_cancelled(connection.upstream, connection.address)
--- a/indigokeel/net/upstream/dispatcher.py
+++ b/indigokeel/net/upstream/dispatcher.py
@@ -169,7 +169,7 @@
         connection = self._table.oldest_opening(upstream)
         if connection is None:
             return
-        self._connector.on_surplus(connection, removed.started_at if timed_out else None)
+        self._connector.on_connect_cancelled(connection, removed.started_at if timed_out else None)
         self.close(connection)
         self._fail_blocked_waiters(upstream)
 
--- a/indigokeel/net/upstream/health_check.py
+++ b/indigokeel/net/upstream/health_check.py
@@ -13,7 +13,7 @@
 from indigokeel.net.upstream.circuit_breaker import Address
 from indigokeel.net.upstream.connection import UpstreamConnection
 from indigokeel.net.upstream.connection_pool import ConnectionPool
-from indigokeel.net.upstream.delayed_release import DelayedRelease
+from indigokeel.net.upstream.connection_releaser import ConnectionReleaser
 from indigokeel.net.upstream.upstream_exchange import UpstreamExchange
 from indigokeel.net.upstream.waiter_queue import ConnectFailure, ConnectionWaiter
 
@@ -56,7 +56,8 @@
         self.exchange = exchange
         self._message = b"GET /_load HTTP/1.1\r\nHost: %s\r\n\r\n" % exchange.host
         exchange.send(self)
-        response, self.is_reusable = await self._ended
+        response, is_reusable = await self._ended
+        self.is_reusable = is_reusable
         return response
 
     def held_connection(self) -> UpstreamConnection | None:
@@ -85,14 +86,14 @@
     def __init__(
         self,
         connections: ConnectionPool,
-        delayed_release: DelayedRelease,
+        releaser: ConnectionReleaser,
         find_address: Callable[[str], Address | None],
         connect_timeout_s: float,
     ) -> None:
         """``find_address`` returns None for an upstream that accepts no requests."""
         self.connect_timeout_s = connect_timeout_s
         self._connections = connections
-        self._delayed_release = delayed_release
+        self._releaser = releaser
         self._find_address = find_address
 
     async def check(self, upstream: str) -> HealthCheckResult:
@@ -130,7 +131,7 @@
     def _release(self, call: _HealthCheckCall, acquired: UpstreamConnection | ConnectionWaiter) -> None:
         connection = call.held_connection()
         if connection is not None and call.exchange is not None and call.is_reusable:
-            self._delayed_release.schedule(connection, call.exchange)
+            self._releaser.release_later(connection, call.exchange)
         elif connection is not None:
             self._connections.close(connection)
         elif isinstance(acquired, ConnectionWaiter):
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -107,7 +107,7 @@
     monkeypatch: pytest.MonkeyPatch, stray: bytes
 ) -> None:
     """The quiet period is longer than the exchanges take on a busy machine."""
-    monkeypatch.setattr("indigokeel.net.upstream.delayed_release.QUIET_PERIOD_S", 2.0)
+    monkeypatch.setattr("indigokeel.net.upstream.connection_releaser.QUIET_PERIOD_S", 2.0)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         responses, counters, left = runner.run(send_two_attempts(stray))
     assert [response.body for response in responses] == [[b"first"], [b"next"]]
