--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -19,7 +19,7 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, Handler
 from tests.peers import Message, Program, ok, read_answer, request, running, status, until
-from tests.test_endings import BIG, LEAVING, Fake, standing
+from tests.test_endings import BIG, LEAVING
 
 SOCKETS = 64  # of these, 17 for clients
 CLIENTS = 17
@@ -149,44 +149,6 @@
         assert told > 0 and program.counters()["requests_unanswered"] == 0
 
 
-class Counted(Fake):
-    """A connection that counts how often the system is asked for it."""
-
-    asked = 0
-
-    def is_idle(self) -> bool:
-        Counted.asked += 1
-        return super().is_idle()
-
-    def has_unwritten_output(self) -> bool:
-        Counted.asked += 1
-        return super().has_unwritten_output()
-
-
-@pytest.mark.parametrize(
-    ("newcomers", "workers", "ending"),
-    [
-        ([Counted(idle=0.1) for _ in range(500)], [Counted(idle=1.0)], []),
-        ([Counted(stuck=0.1) for _ in range(500)], [Counted(idle=3.0)], []),
-        (
-            [Counted(idle=1.0) for _ in range(500)],
-            [],
-            [Counted(has_unwritten_output=True) for _ in range(500)],
-        ),
-    ],
-)
-def test_making_room_asks_the_system_a_few_times_however_many_there_are(
-    newcomers: list[Fake], workers: list[Fake], ending: list[Fake]
-) -> None:
-    connections = standing(newcomers, workers, ending, came=0.0)
-    newest = Counted()
-    connections.connection_opened(newest, 0.2)
-    Counted.asked = 0
-    for now in (0.2, 0.25, 0.9):
-        connections.select_eviction(newest, now)
-    assert Counted.asked <= 60
-
-
 class _Desk:
     """The sidecar, as far as a session that reads half a message asks it."""
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,6 @@
 import pytest
 
 from indigokeel.config import load_config
-from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.process import sidecar
 from tests.peers import (
     SETTINGS,
@@ -146,69 +145,6 @@
         ) == (1, 0)
 
 
-class Fake:
-    """A connection as ``ClientRegistry`` sees it."""
-
-    def __init__(self, idle: float = 0.0, stuck: float = 0.0, has_unwritten_output: bool = False) -> None:
-        self._idle, self._stuck, self._unwritten = idle, stuck, has_unwritten_output
-
-    def is_idle(self) -> bool:
-        return self._idle > 0.0
-
-    def idle_for(self, now: float) -> float:
-        return self._idle
-
-    def stalled_for(self, now: float) -> float:
-        return self._stuck
-
-    def has_unwritten_output(self) -> bool:
-        return self._unwritten
-
-
-def standing(
-    newcomers: list[Fake], workers: list[Fake], ending: list[Fake], came: float = -10.0
-) -> ClientRegistry[Fake]:
-    """The books of these, which are as many as may be."""
-    connections: ClientRegistry[Fake] = ClientRegistry(1024, len(newcomers + workers + ending))
-    for connection in (*newcomers, *workers, *ending):
-        connections.connection_opened(connection, came)
-        assert not connections.is_over_limit()
-    for connection in workers:
-        connections.request_received(connection)
-    for connection in ending:
-        connections.connection_closing(connection)
-    return connections
-
-
-_LAST_WORD, _UNREAD, _OLD, _YOUNG = Fake(), Fake(has_unwritten_output=True), Fake(idle=1.0), Fake(idle=0.1)
-_STUCK, _BUSY, _RESTING, _RECENT = Fake(stuck=0.6), Fake(), Fake(idle=3.0), Fake(idle=0.5)
-
-
-@pytest.mark.parametrize(
-    ("newcomers", "workers", "ending", "goes"),
-    [
-        ([_OLD], [_RESTING], [_UNREAD, _LAST_WORD], _LAST_WORD),
-        ([_BUSY, _OLD], [_RESTING], [_UNREAD], _OLD),
-        ([_YOUNG, _STUCK], [_RESTING], [], _STUCK),
-        ([_YOUNG], [_BUSY, _RESTING, _RECENT], [], _RESTING),
-        ([_YOUNG], [_BUSY, _RECENT], [], _YOUNG),
-        ([], [_BUSY, _RECENT], [], _RECENT),
-        ([], [_BUSY], [_UNREAD], None),  # the newest itself
-    ],
-)
-def test_who_goes_for_the_newest(
-    newcomers: list[Fake], workers: list[Fake], ending: list[Fake], goes: Fake | None
-) -> None:
-    connections = standing(newcomers, workers, ending)
-    newest = Fake()
-    connections.connection_opened(newest, 0.0)
-    assert connections.is_over_limit()
-    assert connections.select_eviction(newest, 0.0) is (goes or newest)
-    for connection in list(connections):
-        connections.connection_closed(connection)
-    assert len(connections) == 0 and not connections.is_crowded()
-
-
 # --- a client that leaves while its request waits ---------------------------------------------------------
 
 
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -19,7 +19,7 @@
 from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, FinalResponse
-from indigokeel.net.downstream.pipeline import MAX_QUEUED_REQUESTS, Pipeline
+from indigokeel.net.downstream.pipeline import MAX_QUEUED_REQUESTS
 from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
@@ -334,19 +334,6 @@
     assert budgets[0] <= 5.0 and all(budget <= 4.8 for budget in budgets[1:])
 
 
-@pytest.mark.parametrize("sizes", [[10, 5000, 1], [3000] * 4])
-def test_bytes_that_wait_are_handed_out_once_in_order(sizes: list[int]) -> None:
-    pipeline, sent, got = Pipeline(), b"", b""
-    for number, size in enumerate(sizes):
-        data = bytes([number]) * size
-        pipeline.append_bytes(data, 0.0)
-        sent += data
-        got += bytes(pipeline.next_slice(number))
-    while pipeline.has_unparsed_bytes():
-        got += bytes(pipeline.next_slice(0))
-    assert got == sent and pipeline.is_empty()
-
-
 @pytest.mark.parametrize(
     "sent", [b"", PAY, PAY[:-1], request("odd"), b"noise\r\n\r\n", request("pay", LONG)[:100_000]]
 )
--- /dev/null
+++ b/tests/unit/test_config.py
@@ -0,0 +1,91 @@
+"""Decoding of the configuration file and its settings."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from indigokeel.balancing.settings import ClassSettings, Idempotency, Limits, LoadReportSource, Settings
+from indigokeel.config import ConfigError, decode_settings, load_config
+from tests.peers import SETTINGS, parse_endpoint_list
+
+CONFIG = {
+    "name": "n3",
+    "listen": "127.0.0.1:3000",
+    "discovery": "127.0.0.1:85",
+    "seed": "ff",
+    "known": parse_endpoint_list(),
+    "settings": SETTINGS,
+}
+
+
+def test_config(tmp_path: Path) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG))
+    config = load_config({"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.1:4000"})
+    assert (config.name, config.listen[1], config.discovery[1], config.seed) == ("n3", 4000, 85, 255)
+    assert config.settings.limits.max_attempts == 5 and config.sockets == 1024
+
+
+@pytest.mark.parametrize(
+    ("change", "message"),
+    [
+        ({"listen": "nowhere"}, "not an address"),
+        ({"listen": None}, None),
+        ({"seed": "xyz"}, None),
+        ({"settings": []}, "not an object"),
+        ({"settings": {"classes": 1}}, "wrong shape"),
+        ({"settings": {}}, "'classes' is missing"),
+        ({"known": {"index": 1}}, "not a machine list"),
+        *[
+            ({"settings": {**SETTINGS, key: value}}, message)
+            for key, value, message in [
+                (
+                    "classes",
+                    [{**SETTINGS["classes"][0], "effect": "odd"}],
+                    r"settings\.classes\[0\]\.effect: 'odd'",
+                ),
+                ("classes", [{"name": "view"}], r"settings\.classes\[0\]: 'objective-s' is missing"),
+                ("classes", [{**SETTINGS["classes"][2], "group": 7}], r"settings\.classes\[0\]\.group: '7'"),
+                ("limits", {"max-attempts": "many"}, r"settings\.limits\.max-attempts: 'many'"),
+                ("limits", 5, r"settings\.limits: not an object"),
+                ("safety", {"warm-within-s": "1e999"}, r"settings\.safety\.warm-within-s: '1e999'"),
+                ("prices", {"probe": []}, r"settings\.prices\.probe: '\[\]'"),
+                ("telemetry", {"how": "pigeon"}, r"settings\.telemetry\.how: 'pigeon'"),
+                ("tenants", [{"share": 1}], r"settings\.tenants\[0\]: 'name' is missing"),
+                ("me", "x", r"settings\.me: 'x'"),
+            ]
+        ],
+        ({"limits": 3}, None),
+    ],
+)
+def test_bad_config(tmp_path: Path, change: dict[str, Any], message: str | None) -> None:
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps({**CONFIG, **change}))
+    with pytest.raises(ConfigError, match=message):
+        load_config({"BALANCER_CONFIG": str(path)})
+    with pytest.raises(ConfigError):
+        load_config({})
+
+
+def test_settings_without_what_can_be_done_without_have_the_defaults() -> None:
+    least = {"classes": [{"name": "view", "objective-s": 0.5, "deadline-s": 1.0, "effect": "safe"}]}
+    optional = (
+        "limits",
+        "safety",
+        "prices",
+        "telemetry",
+        "tenants",
+        "specifics",
+        "membership-mode",
+        "weights",
+    )
+    assert decode_settings(least) == decode_settings({**least, **dict.fromkeys(optional)})
+    assert decode_settings(least) == Settings(
+        classes=(ClassSettings("view", latency_objective=0.5, deadline=1.0, idempotency=Idempotency.SAFE),),
+        limits=Limits(cancellation=False, hedging=False, max_attempts=1),
+        load_report_source=LoadReportSource.NONE,
+    )
