--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -285,4 +285,4 @@
         else:
             process = start_process(good.config, subprocess.PIPE, BALANCER_LISTEN_FD="7")
         told = process.communicate(timeout=WAIT)[1]
-        assert process.returncode == 1 and b"descriptor 7 is not a listening socket" in told
+        assert process.returncode == 1 and b"descriptor 7 is no socket that listens" in told
