--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -26,7 +26,8 @@
     WatchEndpoints,
 )
 from indigokeel.balancing.events import LoadReport
-from indigokeel.simulation import adapter
+from indigokeel.simulation import adapter, wire
+from indigokeel.simulation.host import Host
 
 ROOT = Path(__file__).resolve().parent.parent
 INFO = {
@@ -106,7 +107,7 @@
 
 def test_answers_and_restart() -> None:
     text = session((0,), 1)
-    host = adapter.Host()
+    host = Host()
     first = [line for _, entry in text[:5] for line in entry.split("\n")]
     host.reply(first)
     reply = host.reply([entry for _, entry in text[5:]])
@@ -129,9 +130,9 @@
 
 
 def test_load_report_round_trip() -> None:
-    load = adapter.parse_load("rate:140,busy:0.62,lat_ms:20,unknown:1")
+    load = wire.parse_load("rate:140,busy:0.62,lat_ms:20,unknown:1")
     assert load == LoadReport(rate=140.0, utilisation=0.62, latency=0.02)
-    assert adapter.parse_load(None) is None and adapter.parse_load("-") is None
+    assert wire.parse_load(None) is None and wire.parse_load("-") is None
 
 
 @pytest.mark.parametrize(
@@ -152,7 +153,7 @@
     ],
 )
 def test_actions_on_the_wire(action: Action, line: str) -> None:
-    assert adapter.format_action(3, action) == line
+    assert wire.format_action(3, action) == line
 
 
 START = "ROUND moment-s=100 round=1\n"
@@ -214,6 +215,6 @@
 
 def test_serve_writes_nothing_of_a_bad_batch() -> None:
     sink = io.StringIO()
-    with pytest.raises(adapter.WireError):
+    with pytest.raises(wire.WireError):
         adapter.serve(io.StringIO(START + "REQUEST sidecar=x id=1\nYOUR_TURN\n"), sink)
     assert sink.getvalue() == ""
