--- a/indigokeel/__main__.py
+++ b/indigokeel/__main__.py
@@ -15,8 +15,7 @@
 
 
 def main() -> int:
-    """Run the sidecar; return 0 after a graceful shutdown, 1 if it cannot listen, 2 on an invalid
-    configuration."""
+    """Run the sidecar; return 0 after a graceful shutdown, 1 if it cannot listen, 2 if misconfigured."""
     # A SIGHUP that arrives before its handler is installed waits for it, because the file may have been
     # replaced just after it was read here. Before this line ``run`` of the deploy file ignores the signal.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
--- a/indigokeel/balancing/balancer.py
+++ b/indigokeel/balancing/balancer.py
@@ -202,7 +202,8 @@
 
     def apply_settings(self, settings: Settings) -> None:
         """Take settings, whole, or raise ValueError. Open requests keep what they came under; of classes and
-        tenants that stay, what was learnt."""
+        tenants that stay, what was learnt.
+        """
         check(settings)
         self._settings = settings
         limits = settings.limits
@@ -291,12 +292,14 @@
     def _order(self) -> Iterator[Upstream]:
         """Those that serve, in the order for the subset. It is the same at every sidecar, and each begins at
         one of a few places in it. Guards against keys that have a home of their own at every sidecar, and so
-        are warm nowhere."""
+        are warm nowhere.
+        """
         return self._serving.order(self._place(len(self._serving)))
 
     def _all(self) -> list[Upstream]:
         """The same as a list. It is laid out only where a choice needs it after a change of the endpoint
-        list: that takes some ms on a large fleet."""
+        list: that takes some ms on a large fleet.
+        """
         if self._ranked is None:
             self._ranked, self._replica_groups = list(self._order()), {}
             for upstream in self._ranked:
@@ -305,7 +308,8 @@
 
     def _place(self, count: int) -> float:
         """Where in the order this sidecar's subset begins: of so many places, evenly apart, that the least
-        subsets cover all; a power of two, so that places stay as they are while the fleet changes."""
+        subsets cover all; a power of two, so that places stay as they are while the fleet changes.
+        """
         places = 1
         while places * SUBSET_LEAST < count:
             places *= 2
@@ -332,7 +336,8 @@
 
         Guards against the slow upstream whose low rate looks like room: what it serves is judged against how
         busy that made it. It is drawn to what others of its kind in its cell (labels, nothing more) show, for
-        one sidecar sees few reports, and servers of a cell can share a limit."""
+        one sidecar sees few reports, and servers of a cell can share a limit.
+        """
         return upstream.scale * math.exp(upstream.capacity.value() - self._capacity.value())
 
     # --- the wheel ------------------------------------------------------------------------------
@@ -398,14 +403,16 @@
 
     def _has_room(self, now: float, upstream: Upstream, request: RequestState) -> bool:
         """Whether what an upstream holds, as it told last and by own attempts since, is so little that one
-        more is answered in time. Guards against the jam: all wait too long, and keep the upstream slow."""
+        more is answered in time. Guards against the jam: all wait too long, and keep the upstream slow.
+        """
         most = ROOM * (request.latest - now) / request.stats.latency
         return now - upstream.told > records.WINDOW or upstream.others + upstream.open < max(most, ROOM_LEAST)
 
     def _draw(self, now: float) -> Upstream | None:
         """Spin the wheel over a large subset without laying it out: draw a survivor at random and take it
         with a chance of its slice over the largest that a slice can be, else draw again. The odds are those
-        of the whole wheel (von Neumann's rejection), by what was last seen of each."""
+        of the whole wheel (von Neumann's rejection), by what was last seen of each.
+        """
         index, random = self._wheel, self._random
         index.refresh(now)
         left, struck = index.survivors, index.struck
@@ -482,7 +489,8 @@
     def _lean(self, chosen: list[Upstream], slices: list[float]) -> None:
         """Lean away from upstreams that hold far more of the own attempts than their part. Guards against the
         crowd: until reports, which are old and averaged, tell of a queue, every pick makes it longer. Within
-        LEAN_FROM nothing leans, for that would move keys off the upstreams that have them warm."""
+        LEAN_FROM nothing leans, for that would move keys off the upstreams that have them warm.
+        """
         mean = sum([u.open for u in chosen]) / sum([u.view for u in chosen]) + 1.0
         for i, upstream in enumerate(chosen):
             if upstream.open and (over := upstream.open / (mean * upstream.view * LEAN_FROM)) > 1.0:
@@ -512,7 +520,8 @@
 
     def _measure_load(self, now: float, used: list[Upstream]) -> None:
         """How busy what is asked for would keep the upstreams in use were they warm, and which part of the
-        fleet's traffic passes through here. A load is forgotten slowly: after a start nobody reports it."""
+        fleet's traffic passes through here. A load is forgotten slowly: after a start nobody reports it.
+        """
         self._warm = sum(u.ramp >= 1.0 for u in used)
         mean_size = sum(u.size for u in used) / max(len(used), 1)  # in ejection: counted as like the others
         self._full_size = mean_size * min(max(len(used), SUBSET_LEAST), len(self._serving))
@@ -554,7 +563,8 @@
     def _spin_cold(self, now: float, parts: dict[Upstream, float], key: int) -> Upstream | None:
         """Spin where some are cold: chance alone decides whether it is a cold one that gets the request, not
         the key, for all sidecars agree on a key. Beside warm ones its slice is bounded by theirs. Where none
-        is warm, what all are spared goes nowhere: None."""
+        is warm, what all are spared goes nowhere: None.
+        """
         total = sum(parts.values())
         warm = {u: part for u, part in parts.items() if u.ramp >= 1.0}
         cold = {u: part for u, part in parts.items() if u.ramp < 1.0}
@@ -667,7 +677,8 @@
 
     def _patience(self, now: float, request: RequestState, expected: float) -> float:
         """How long an attempt may take before it counts as overdue: long enough for most answers,
-        short enough to leave time for another attempt within the aim."""
+        short enough to leave time for another attempt within the aim.
+        """
         latest = request.objective_at - now - 1.2 * expected
         return max(min(PATIENCE * expected, latest), 1.5 * expected)
 
@@ -820,7 +831,8 @@
 
     def _after_failure(self, now: float, request: RequestState, outcome: AttemptOutcome) -> None:
         """No attempt is out and none was served. The retry budget pays for further ones: a storm of them jams
-        the fleet. One that reached no upstream is free: guards against a list long out of date."""
+        the fleet. One that reached no upstream is free: guards against a list long out of date.
+        """
         price = 0.0 if outcome in (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT) else 1.0
         if request.started or self._retry_tokens < price or not self._worth_trying(now, request):
             self._end(request)
@@ -850,7 +862,8 @@
     def _set_shedding(self, now: float) -> None:
         """Load shedding: refuse at once what the fleet shows it cannot answer in time, least worth first:
         more by a part while too many are late, less by a step when not. Only lateness counts: guards against
-        shedding for answers that peers spoil, and against the refused that come again and count as load."""
+        shedding for answers that peers spoil, and against the refused that come again and count as load.
+        """
         self._shed_until = now + REFRESH
         if self._late.value(now) > SHED_LATE * self._in_time.value(now) + SHED_LEAST:
             self._admitted = max(self._admitted * SHED_STEP_DOWN, 1.0 - SHED_MOST)
@@ -866,7 +879,8 @@
     def _over_share(self, now: float, excess: float) -> list[tuple[TenantStats, float]]:
         """What part of each tenant's requests is to go for ``excess`` of all to go: first what a tenant asks
         for beyond the others, each measured by its quota. Guards against the burst of one tenant, most of it
-        worth little, that has the others' requests refused. The own part of all traffic cancels out."""
+        worth little, that has the others' requests refused. The own part of all traffic cancels out.
+        """
         tenants = list(self._tenants.values())
         if self._settings.over_quota_weight >= 1.0:
             return [(tenant, excess) for tenant in (*tenants, self._other)]
@@ -887,7 +901,8 @@
 
     def _on_lagged(self, now: float, event: LagSampled) -> None:
         """The sidecar itself falls behind: what it takes in then only makes all of it late. What is let in
-        shrinks by a part while that lasts, and grows by a step when not."""
+        shrinks by a part while that lasts, and grows by a step when not.
+        """
         # A beat that is late the second time in a row counts for all that it has missed.
         late, self._late_beat = self._late_beat, event.seconds > self._lag_most
         beats = (
@@ -914,7 +929,8 @@
 
     def shed_early(self, now: float, class_name: str, budget: float) -> float | None:
         """Asked before a request costs anything: None to take it, else how long its client is to wait, for
-        it could not be answered in time or keeps the sidecar from what is worth more."""
+        it could not be answered in time or keeps the sidecar from what is worth more.
+        """
         stats = self._stats.get(class_name)
         if stats is None or not self.is_overloaded():
             return None
--- a/indigokeel/balancing/fast_enum.py
+++ b/indigokeel/balancing/fast_enum.py
@@ -7,6 +7,7 @@
 
 class FastHashEnum(Enum):
     """An Enum with the identity hash, which is implemented in C: members are dictionary keys on the request
-    path."""
+    path.
+    """
 
     __hash__ = object.__hash__
--- a/indigokeel/balancing/records.py
+++ b/indigokeel/balancing/records.py
@@ -70,7 +70,8 @@
 
     def average(self, now: float) -> None:
         """Let reports older than the window go and average the rest. One or two are noise, not an average:
-        guards against striking a sound upstream out by them."""
+        guards against striking a sound upstream out by them.
+        """
         self.rate, self.utilisation = self.reports.means(now) or (-1.0, -1.0)
         if len(self.reports) < AVERAGED_LEAST:
             self.utilisation = -1.0
--- a/indigokeel/balancing/slow_start.py
+++ b/indigokeel/balancing/slow_start.py
@@ -33,7 +33,8 @@
 def traffic_part(safety: Safety, capacity: float, load: float | None, surplus: float) -> float:
     """The part of a sidecar's own requests that a cold upstream may be given. ``capacity`` is its present
     one, as a part of that of all upstreams in use once warm; ``load`` is how busy what is asked for would
-    keep these then (None: not told, and taken as BUDGET_PART). ``surplus`` as above."""
+    keep these then (None: not told, and taken as BUDGET_PART). ``surplus`` as above.
+    """
     busy = BUDGET_PART if load is None else max(load, LOAD_LEAST)
     return BUDGET_PART * safety.overload_multiple * capacity / (busy * surplus)
 
@@ -41,6 +42,7 @@
 def slot_quota(safety: Safety, capacity: float, share: float) -> int:
     """Requests that a sidecar may send to a cold upstream in half of the rule's time, of which a span of the
     rule's length touches three. ``capacity`` is the present one, in requests a second; ``share`` is the part
-    of the fleet's traffic that passes through the sidecar. The root leaves room for ordinary chance."""
+    of the fleet's traffic that passes through the sidecar. The root leaves room for ordinary chance.
+    """
     mean = BUDGET_PART * safety.overload_multiple * capacity * share * safety.overload_window / 2.0
     return int(mean + math.sqrt(mean)) + 1
--- a/indigokeel/balancing/statistics.py
+++ b/indigokeel/balancing/statistics.py
@@ -30,7 +30,8 @@
 
 def trim_max_min(amounts: list[float], weights: list[float], excess: float) -> list[float]:
     """What is left of the amounts once ``excess`` in all is cut off: the largest for their weight first, down
-    to one level (max-min fair by weight). What has no weight goes first."""
+    to one level (max-min fair by weight). What has no weight goes first.
+    """
     kept = list(amounts)
     order = sorted(range(len(kept)), key=lambda i: kept[i] / weights[i] if weights[i] > 0.0 else math.inf)
     room = sum(kept) - excess  # what is left in all
@@ -130,7 +131,8 @@
     """The sums of two figures over the last ``span`` seconds, kept as they come and go.
 
     Exact, without drift: each figure is taken in whole multiples of 2**-40, and sums of whole numbers are
-    exact in any order, so what comes in and goes out again leaves nothing behind."""
+    exact in any order, so what comes in and goes out again leaves nothing behind.
+    """
 
     __slots__ = ("_first", "_items", "_second", "span")
 
--- a/indigokeel/balancing/weighted_choice.py
+++ b/indigokeel/balancing/weighted_choice.py
@@ -1,5 +1,6 @@
 """Choices among weighted entries, by chance or by a key that every process maps alike, and places that lie
-evenly apart. Nothing is decided here."""
+evenly apart. Nothing is decided here.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +32,8 @@
 
 def by_key(entries: Sequence[S], weights: Iterable[float], key: int) -> S:
     """Spin the wheel by the key (weighted rendezvous hashing): the odds are those of the weights, and
-    processes with like weights agree on the entry that has met the key."""
+    processes with like weights agree on the entry that has met the key.
+    """
     best, best_score = entries[0], math.inf
     for entry, weight in zip(entries, weights, strict=True):
         score = -math.log((mix(entry.salt, key) + 1) / (MASK + 2)) / weight
--- a/indigokeel/balancing/zone_ordered_set.py
+++ b/indigokeel/balancing/zone_ordered_set.py
@@ -13,7 +13,8 @@
 
 class ZoneOrderedSet(Generic[T]):
     """Items by lane, each lane sorted by rank and name. A change costs a search and a shift within its lane,
-    not a new layout of the whole, so that many changes of a long list stay cheap."""
+    not a new layout of the whole, so that many changes of a long list stay cheap.
+    """
 
     def __init__(self) -> None:
         self._lanes: dict[str, list[tuple[int, str, T]]] = {}
@@ -36,7 +37,8 @@
 
     def order(self, begin: float) -> Iterator[T]:
         """All items from the place ``begin``, a part of the whole, on and round. Each lane has a place for
-        each of its items, evenly spread; at one place the lane goes first whose first item does."""
+        each of its items, evenly spread; at one place the lane goes first whose first item does.
+        """
         lanes = sorted(self._lanes.values(), key=lambda items: _rank_and_name(items[0]))
         spread = (_spread(number, items, begin) for number, items in enumerate(lanes))
         return (item for _, _, item in merge(*spread, key=lambda placed: placed[:2]))
--- a/indigokeel/endpoints/cordons.py
+++ b/indigokeel/endpoints/cordons.py
@@ -4,7 +4,8 @@
 number wins, so that processes of one sidecar that each receive some of the calls agree on all of them once
 they have exchanged their records, in any order (a last-writer-wins map). A new record's number is one more
 than the highest seen (a Lamport clock), so that no clock decides which of two calls was later. Times are
-those of the monotonic clock, which the processes of one machine share."""
+those of the monotonic clock, which the processes of one machine share.
+"""
 
 from __future__ import annotations
 
@@ -71,8 +72,7 @@
         return replace(endpoint, state=EndpointState.DRAINING)
 
     def lifted_at(self, upstream: str, now: float) -> float:
-        """Return the clock time at which a cordon was lifted or expired; 0 if there was none, or it is
-        active.
+        """Return the clock time at which a cordon was lifted or expired, 0 if none was or it is active.
 
         The upstream counts as started then: most likely it was restarted, and discovery lists that later.
         """
--- a/indigokeel/hot_restart/learned_state.py
+++ b/indigokeel/hot_restart/learned_state.py
@@ -52,7 +52,8 @@
 
 def restore(balancer: Balancer, now: float, data: Any) -> None:
     """Teach a balancer, that knows its list and nothing else, what another one collected. Raises LearnedError
-    on values that make no sense; what was taken in before that stays, which is harmless."""
+    on values that make no sense; what was taken in before that stays, which is harmless.
+    """
     try:
         _restore(balancer, now, data)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
--- a/indigokeel/net/admin.py
+++ b/indigokeel/net/admin.py
@@ -136,8 +136,7 @@
             return
         self._received_bytes += len(data)
         try:
-            if self._received_bytes > _MAX_CALL_BYTES:
-                raise RequestError(413, "the call is too large")
+            self._check_size()
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             self._answer_error(RequestError.of(error))
@@ -148,6 +147,10 @@
             self._server.counters.log(f"fault in a call: {type(error).__name__}: {error}", "error")
             self._answer(500, "internal error")
 
+    def _check_size(self) -> None:
+        if self._received_bytes > _MAX_CALL_BYTES:
+            raise RequestError(413, "the call is too large")
+
     # --- httptools ------------------------------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -152,8 +152,10 @@
     async def _call(
         self, target: bytes, on_answer: Callable[[], None] = lambda: None, timeout_s: float = _LONG_SILENCE_S
     ) -> _CallEnd:
-        """Pass on each list of one call. ``on_answer`` is called once its answer begins, within
-        ``timeout_s`` seconds."""
+        """Pass on each list of one call.
+
+        ``on_answer`` is called once its answer begins, within ``timeout_s`` seconds.
+        """
         self._counters.add("discovery_calls")
         writer = None
         try:
--- a/indigokeel/net/downstream/pipeline.py
+++ b/indigokeel/net/downstream/pipeline.py
@@ -20,7 +20,8 @@
 @dataclass(slots=True)
 class PendingRequest:
     """A request that awaits its response: ``received`` to be served, ``error`` to be reported, or, with
-    neither, a health check."""
+    neither, a health check.
+    """
 
     arrived_at: float  # monotonic seconds at which its last byte may have arrived
     keep_alive: bool  # as the client asked
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -1,5 +1,6 @@
 """Parses the requests of one client connection, and tells broken framing, which ends the connection, from a
-well-framed request that cannot be served. No I/O."""
+well-framed request that cannot be served. No I/O.
+"""
 
 from __future__ import annotations
 
--- a/indigokeel/process/reload.py
+++ b/indigokeel/process/reload.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import os
+from dataclasses import dataclass
 
+from indigokeel.balancing.settings import Settings
 from indigokeel.config import Config, ConfigError, reload_config
 from indigokeel.metrics import Counters
 from indigokeel.net.discovery import DiscoveryClient
@@ -13,25 +15,33 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 
 
+@dataclass(frozen=True, slots=True)
+class ReloadTargets:
+    """The parts of the process that settings are applied to."""
+
+    coordinator: RequestCoordinator
+    requests: RequestService
+    upstream_client: UpstreamClient
+    discovery: DiscoveryClient
+
+    def apply(self, settings: Settings) -> None:
+        """Apply settings to all of them; raise ValueError if they are invalid."""
+        limits = settings.limits
+        self.coordinator.apply_settings(settings)
+        self.upstream_client.apply_timeouts(limits.connect_timeout, limits.keepalive)
+        self.requests.settings = settings
+        self.discovery.pushed = not settings.polls_membership
+
+
 class ConfigReloader:
     """Holds the configuration in force, and replaces it as a whole."""
 
     def __init__(
-        self,
-        config: Config,
-        coordinator: RequestCoordinator,
-        requests: RequestService,
-        upstream_client: UpstreamClient,
-        discovery: DiscoveryClient,
-        supervisor: Supervisor,
-        counters: Counters,
+        self, config: Config, targets: ReloadTargets, supervisor: Supervisor, counters: Counters
     ) -> None:
         """``config`` is the one that the process was started with."""
         self.config = config
-        self._coordinator = coordinator
-        self._requests = requests
-        self._upstream_client = upstream_client
-        self._discovery = discovery
+        self._targets = targets
         self._supervisor = supervisor
         self._counters = counters
 
@@ -54,12 +64,8 @@
         self._counters.add("reloads")
         names = ", ".join(cls.name for cls in config.settings.classes)
         self._counters.log(f"configuration reloaded: classes {names}")
-        self._supervisor.keep_running("move of the watch", self._discovery.move, config.discovery)
+        self._supervisor.keep_running("move of the watch", self._targets.discovery.move, config.discovery)
 
     def _apply(self, config: Config) -> None:
-        settings = config.settings
-        self._coordinator.apply_settings(settings)
-        self._upstream_client.apply_timeouts(settings.limits.connect_timeout, settings.limits.keepalive)
+        self._targets.apply(config.settings)
         self.config = config
-        self._requests.settings = settings
-        self._discovery.pushed = not settings.polls_membership
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -27,7 +27,7 @@
 from indigokeel.process.endpoint_feed import EndpointFeed
 from indigokeel.process.housekeeping import Housekeeping
 from indigokeel.process.lag_monitor import LagMonitor
-from indigokeel.process.reload import ConfigReloader
+from indigokeel.process.reload import ConfigReloader, ReloadTargets
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import Shutdown, ShutdownTimes
 from indigokeel.process.state_persistence import StatePersistence
@@ -66,15 +66,8 @@
             self._upstream_client.connections,
             self._counters,
         )
-        self._reloader = ConfigReloader(
-            config,
-            self._coordinator,
-            self._requests,
-            self._upstream_client,
-            self._discovery,
-            self._supervisor,
-            self._counters,
-        )
+        targets = ReloadTargets(self._coordinator, self._requests, self._upstream_client, self._discovery)
+        self._reloader = ConfigReloader(config, targets, self._supervisor, self._counters)
         self._persistence = self._make_persistence(config)
         self._admin_service = AdminService(
             self._coordinator,
@@ -235,11 +228,12 @@
         while address is not None:
             try:
                 await self._admin.listen(address)
-                return
             except OSError as error:
                 self._counters.add("mgmt_binds_failed")
                 self._counters.log(f"cannot listen for operators: {error}", "warning")
                 await asyncio.sleep(_ADMIN_BIND_RETRY_S)
+            else:
+                return
 
     async def _handle_signals(self, signals: asyncio.Queue[signal.Signals]) -> None:
         """Handle signals until one that ends the process."""
--- a/indigokeel/process/supervision.py
+++ b/indigokeel/process/supervision.py
@@ -9,9 +9,9 @@
 
 from indigokeel.metrics import Counters
 
-_RESTART_PAUSE_S = 0.05  # before the first restart of a loop; doubled with each further one ...
-_RESTART_PAUSE_MOST_S = 1.0  # ... up to this
-_SOUND_RUN_S = 5.0  # a loop that ran for so long begins again with the first pause
+_RESTART_PAUSE_S = 0.05  # before the first restart of a loop; doubled with each further one
+_MAX_RESTART_PAUSE_S = 1.0
+_STABLE_RUN_S = 5.0  # after a run this long, the pauses start again from the first
 
 P = ParamSpec("P")
 T = TypeVar("T")
@@ -31,8 +31,10 @@
         self._group = group
 
     def spawn(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run ``call(*args)`` as a task; ``what`` names it in the log. Nothing starts after ``cancel_all``:
-        the process would wait for it."""
+        """Run ``call(*args)`` as a task, which ``what`` names in the log.
+
+        Nothing starts after ``cancel_all``, because the process would wait for it.
+        """
         if self._stopped:
             return
         assert self._group is not None
@@ -41,12 +43,11 @@
         task.add_done_callback(self._tasks.discard)
 
     def keep_running(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run ``call(*args)`` as a task that starts again after an exception, until it returns or is
-        cancelled."""
+        """Run ``call(*args)`` as a task, restarted after an exception, until it returns or is cancelled."""
         self.spawn(what, self._restart, what, call, *args)
 
     def run_guarded(self, what: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
-        """Call a step of a loop that goes on whatever the step raises; None where it raised."""
+        """Call a step of a loop that continues whatever the step raises; return None if it raised."""
         try:
             return call(*args, **kwargs)
         except Exception as error:
@@ -79,13 +80,14 @@
     async def _restart(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
         pause = _RESTART_PAUSE_S
         while True:
-            began = time.monotonic()
+            started_at = time.monotonic()
             try:
                 await call(*args)
-                return
             except Exception as error:
                 self.restarting(what, error)
-            if time.monotonic() - began > _SOUND_RUN_S:
+            else:
+                return
+            if time.monotonic() - started_at > _STABLE_RUN_S:
                 pause = _RESTART_PAUSE_S
             await asyncio.sleep(pause)
-            pause = min(2.0 * pause, _RESTART_PAUSE_MOST_S)
+            pause = min(2.0 * pause, _MAX_RESTART_PAUSE_S)
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -142,7 +142,13 @@
             self._answer(FinalAnswer(action.id, FinalStatus.FAILED), effects)
         elif isinstance(action, CancelAttempt):
             self._cancel_attempt(now, action, effects, events)
-        elif isinstance(action, SendHealthCheck):
+        else:
+            self._pass_on(action, effects)
+
+    @staticmethod
+    def _pass_on(action: Action, effects: Effects) -> None:
+        """Add an action to the effects that concerns no request."""
+        if isinstance(action, SendHealthCheck):
             effects.health_checks.append(action.upstream)
         elif isinstance(action, WatchEndpoints):
             effects.watch = True
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -87,8 +87,7 @@
         return self._balancer.is_overloaded()
 
     def shed_early(self, now: float, class_name: str, budget: float) -> float | None:
-        """Decide whether to reject a request before it is parsed: return the seconds after which its client
-        may retry, or None to accept it."""
+        """Return the seconds after which a client rejected before parsing may retry, None to accept it."""
         return self._balancer.shed_early(now, class_name, budget)
 
     def pick(self, now: float, request: Request) -> Effects:
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -1,5 +1,4 @@
-"""What goes into the coordinator and comes out of it: plain values, which any protocol can make and carry
-out."""
+"""What the coordinator takes and returns: plain values, independent of any protocol."""
 
 from __future__ import annotations
 
--- a/indigokeel/requests/open_requests.py
+++ b/indigokeel/requests/open_requests.py
@@ -80,8 +80,10 @@
         return opened
 
     def _time_limit(self, request: Request) -> float:
-        """Return the seconds until the final answer: never cut below the objective but by the shorter margin,
-        and at least half of the client's limit."""
+        """Return the seconds until the final answer, at least half of the client's limit.
+
+        They are cut below the latency objective by the shorter margin alone.
+        """
         objective = self._latency_objectives.get(request.class_name, 0.0)
         within_objective = min(objective, request.budget - MIN_RESPONSE_MARGIN_S)
         return max(request.budget - RESPONSE_MARGIN_S, within_objective, request.budget / 2.0)
--- a/indigokeel/simulation/wire.py
+++ b/indigokeel/simulation/wire.py
@@ -188,8 +188,8 @@
     FailRequest: ("ABORT", lambda action: f"id={action.id}"),
     CancelAttempt: ("ABORT_ATTEMPT", lambda action: f"id={action.id} try={action.attempt}"),
     SendHealthCheck: ("HEALTH_CHECK", lambda action: f"upstream={action.upstream}"),
-    WatchEndpoints: ("WATCH", lambda action: "active=1"),
-    FetchEndpoints: ("LOOKUP", lambda action: ""),
+    WatchEndpoints: ("WATCH", lambda _: "active=1"),
+    FetchEndpoints: ("LOOKUP", lambda _: ""),
     LogMessage: ("PRINT", lambda action: f"reason-text={format_text(action.text)}"),
 }
 
