--- a/tests/peers.py
+++ b/tests/peers.py
@@ -115,9 +115,9 @@
         with contextlib.suppress(OSError):
             while True:
                 conn, _ = self._server.accept()
-                threading.Thread(target=self._talk, args=(conn,), daemon=True).start()
+                threading.Thread(target=self._serve_connection, args=(conn,), daemon=True).start()
 
-    def _talk(self, conn: socket.socket) -> None:
+    def _serve_connection(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError), conn, conn.makefile("rb") as file:
             while (message := read_message(file)) is not None:
                 self.got.append(message)
@@ -147,7 +147,7 @@
         self.exchange = exchange
         super().__init__(lambda message: None)
 
-    def _talk(self, conn: socket.socket) -> None:
+    def _serve_connection(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError, ValueError), conn, conn.makefile("rb") as file:
             self.exchange(conn, file)
 
@@ -171,7 +171,7 @@
         super().__init__(lambda message: None)
         self.watches: list[socket.socket] = []
 
-    def _talk(self, conn: socket.socket) -> None:
+    def _serve_connection(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError):
             message = read_message(conn.makefile("rb"))
             assert message is not None
@@ -307,6 +307,10 @@
             conn.sendall(raw)
             return read_answer(conn.makefile("rb"))
 
+    def logged(self, text: str, count: int) -> bool:
+        """Return True if a text was logged this many times."""
+        return self.log.read_text().count(text) == count
+
     def counters(self) -> dict[str, float]:
         """What the program prints on SIGUSR1."""
         seen = self.log.read_text().count("counters ")
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("garbage\n", "must begin with ROUND"),
         (START + "REQUEST sidecar=0\n", "ends within a batch"),
@@ -174,9 +174,9 @@
         ("ROUND round=1\nYOUR_TURN\n", "'moment-s' is missing"),
     ],
 )
-def test_malformed_input(text: str, told: str) -> None:
+def test_malformed_input(text: str, expected: str) -> None:
     done = run(text)
-    assert done.returncode == 1 and told in done.stderr
+    assert done.returncode == 1 and expected in done.stderr
     assert done.stdout == "" and "Traceback" not in done.stderr and len(done.stderr.splitlines()) == 1
 
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -104,7 +104,7 @@
         (0.0, 9.0, 0.0, 9.0),
         (HOUR, 0.3, 0.0, 0.0),
         (-HOUR, 0.3, 0.0, 0.0),
-        (0.0, 500.0, 0.0, 0.0),  # it cannot have been there so long: the list would have told
+        (0.0, 500.0, 0.0, 0.0),  # it cannot have been there so long: the list would have had it
         (0.0, 500.0, 600.0, 500.0),  # ... but was not heard
         (HOUR, 500.0, 600.0, 0.0),
         (0.0, math.inf, 0.0, math.inf),
@@ -120,7 +120,7 @@
         times.list_lost(now - lost_for)
         times.list_lost(now - 1.0)  # a further call that failed
     assert _ages(times, now, {"b": age})["b"] == pytest.approx(counted)
-    later = _ages(times, now + 50.0, {"b": age + 50.0})["b"]  # told again: the same start
+    later = _ages(times, now + 50.0, {"b": age + 50.0})["b"]  # listed again: the same start
     assert later == pytest.approx(counted + 50.0)
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -280,9 +280,9 @@
     assert before is not None and after is not None
     assert after["classes"] == before["classes"] and sorted(after["keys"]) == sorted(before["keys"])
     assert after["capacity"] == before["capacity"]
-    for name, (started, capacity, reports, health, jail) in before["nodes"].items():
+    for name, (started, capacity, reports, health, ejection) in before["nodes"].items():
         mine = after["nodes"][name]
-        assert mine[:2] == [started, capacity] and mine[4] == (jail and pytest.approx(jail))
+        assert mine[:2] == [started, capacity] and mine[4] == (ejection and pytest.approx(ejection))
         assert mine[3] == pytest.approx(health) and mine[2][:2] == pytest.approx(reports[:2])
 
 
@@ -311,7 +311,7 @@
         {"nodes": {"s-0": [0.0, [1.0, 1.0], None, [0.0, True, 0.0], None]}},
     ],
 )
-def test_what_nobody_can_have_learnt_is_told_and_harmless(spoil: dict[str, object]) -> None:
+def test_invalid_learned_state_is_reported_and_harmless(spoil: dict[str, object]) -> None:
     coordinator = _coordinator()
     sound = coordinator.export_learned_state(NOW)
     assert sound is not None and coordinator.restore_learned_state(NOW, sound).notes == []
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -10,6 +10,7 @@
 import socket
 import threading
 import time
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -90,7 +91,7 @@
         assert "mgmt_calls" not in program.counters() and not (tmp_path / "none").exists()
 
 
-def test_listener_for_operators_is_in_the_books(tmp_path: Path) -> None:
+def test_listener_for_operators_is_known_to_the_descriptor_audit(tmp_path: Path) -> None:
     """Guards against the audit that took it for a stray and shut it after 15 s: later calls went unheard."""
 
     async def play() -> None:
@@ -146,12 +147,12 @@
             worker.start()
         try:
             for _ in range(3):
-                # A caller who is pushed out by the flood asks again: this one until it is told.
-                until(lambda: _told(program, "cordon"))
+                # A caller who is pushed out by the flood asks again: this one until it is answered.
+                until(lambda: _is_stored(program, "cordon"))
                 had = len(upstreams[0].got)
                 assert {program.ask(request())[0] for _ in range(20)} == {200}
                 assert len(upstreams[0].got) == had
-                until(lambda: _told(program, "uncordon"))
+                until(lambda: _is_stored(program, "uncordon"))
                 until(lambda n=had: program.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
         finally:
             stop.set()
@@ -159,7 +160,7 @@
                 worker.join()
 
 
-def _told(program: Program, call: str) -> bool:
+def _is_stored(program: Program, call: str) -> bool:
     with contextlib.suppress(OSError):
         return program.call("PUT", call, "s-0") == 200
     return False
@@ -275,7 +276,7 @@
         for number, data in enumerate(BROKEN.values(), 1):
             program.config.write_bytes(data)
             program.process.send_signal(signal.SIGHUP)
-            until(lambda told=number: program.log.read_text().count("the configuration is unchanged") == told)  # type: ignore[misc]
+            until(partial(program.logged, "the configuration is unchanged", number))
         assert program.ask(request("fresh"))[0] == 400
         # A class comes, one changes its effect; then one goes, and attempts become one.
         classes = [{**CLASSES[0]}, {**CLASSES[1], "effect": "unsafe"}, CLASSES[2]]
@@ -303,7 +304,7 @@
         assert codes and set(codes) == {200}
 
 
-def test_open_job_ends_under_the_settings_it_was_taken_under(tmp_path: Path) -> None:
+def test_open_request_ends_under_the_settings_it_arrived_under(tmp_path: Path) -> None:
     held, go = threading.Event(), threading.Event()
 
     def upstream(message: Message) -> bytes | None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,6 +13,7 @@
 import threading
 import time
 import tomllib
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -46,7 +47,7 @@
     return None
 
 
-def test_jobs_pass_on_unchanged_and_are_counted(tmp_path: Path) -> None:
+def test_requests_are_forwarded_unchanged_and_counted(tmp_path: Path) -> None:
     big = os.urandom(64 * 1024)
     with running(tmp_path, echo) as (program, upstreams, _):
         code, answer = program.ask(request("order", big, 5000, "Idempotency-Key: k7\r\n", key="a/b?c=%20d"))
@@ -97,7 +98,9 @@
         (request("pay", b"0\r\n\r\n" + request("pay", b"in"), more="Transfer-Encoding: chunked\r\n"), 400),
     ],
 )
-def test_malformed_messages_are_told_and_the_connection_closed(tmp_path: Path, raw: bytes, code: int) -> None:
+def test_malformed_messages_get_an_error_and_the_connection_is_closed(
+    tmp_path: Path, raw: bytes, code: int
+) -> None:
     with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(raw)
@@ -136,7 +139,7 @@
 
 @pytest.mark.parametrize("ahead", [b"", b"HTTP/1.1 102 Processing\r\n\r\n" * 3])
 @pytest.mark.parametrize("behind", [ok(b"strange"), b"noise", b"\r\n"])
-def test_nothing_left_behind_an_answer_reaches_the_next_job(
+def test_nothing_left_behind_a_response_reaches_the_next_request(
     tmp_path: Path, ahead: bytes, behind: bytes
 ) -> None:
     with running(tmp_path, lambda m: ahead + ok(m.body) + behind) as (program, _, _d):
@@ -146,7 +149,7 @@
         assert program.counters()["upstream_connections"] == 3
 
 
-def test_turned_away_job_is_served_elsewhere(tmp_path: Path) -> None:
+def test_rejected_request_is_served_elsewhere(tmp_path: Path) -> None:
     turned = status(503, "Not-Started: 1\r\n")
     with running(tmp_path, lambda m: turned, echo, lambda m: turned) as (program, _, _d):
         got = [program.ask(request("pay", b"x", 600))[0] for _ in range(8)]
@@ -261,7 +264,7 @@
             program.config.write_text(text)
             program.process.send_signal(signal.SIGHUP)
             # Each by itself: signals of one kind that wait are merged.
-            until(lambda told=number: program.log.read_text().count("the configuration is unchanged") == told)  # type: ignore[misc]
+            until(partial(program.logged, "the configuration is unchanged", number))
         until(lambda: program.counters()["reloads_failed"] == 3)
         for version in (2, 3):
             newer = DiscoveryClient()
@@ -285,7 +288,7 @@
         discovery.close()
 
 
-def test_submitter_that_leaves_is_noticed_while_its_job_runs(tmp_path: Path) -> None:
+def test_client_that_disconnects_is_noticed_while_its_request_runs(tmp_path: Path) -> None:
     with running(tmp_path, hang) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(request("pay", b"x"))
@@ -354,7 +357,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected"),
     [
         (b"", b""),
         (b"GET /view/1 HTTP/1.1\r\nHost:", b"HTTP/1.1 408 "),
@@ -369,17 +372,17 @@
         (request("odd"), b"HTTP/1.1 400 "),
     ],
 )
-def test_bad_submitters_get_an_error_or_a_close_within_3_s(tmp_path: Path, raw: bytes, told: bytes) -> None:
+def test_bad_clients_get_an_error_or_a_close_within_3_s(tmp_path: Path, raw: bytes, expected: bytes) -> None:
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         began, got = time.monotonic(), b""
         with contextlib.suppress(ConnectionError):
             conn.sendall(raw)
             while data := conn.recv(1000):
                 got += data
-        assert time.monotonic() - began < 3.0 and got.startswith(told) and upstreams[0].got == []
+        assert time.monotonic() - began < 3.0 and got.startswith(expected) and upstreams[0].got == []
 
 
-def test_answers_end_their_connection_when_submitters_hold_many(tmp_path: Path) -> None:
+def test_responses_end_their_connection_when_clients_hold_many(tmp_path: Path) -> None:
     """Found in an incident: connections that asked once and stayed used up the share of the others."""
     with running(tmp_path, echo, sockets=60) as (program, _, _d), contextlib.ExitStack() as stack:
         ended = []
@@ -433,7 +436,7 @@
     assert done.stderr.startswith("indigokeel: bad configuration: ") and done.stderr.count("\n") == 1
 
 
-def test_job_that_a_stalled_sidecar_cannot_answer_in_time_is_refused_at_once(tmp_path: Path) -> None:
+def test_request_that_a_stalled_process_cannot_answer_in_time_is_rejected_at_once(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
 
         def refused() -> bool:
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -153,8 +153,8 @@
 def test_all_that_was_read_is_answered_before_an_early_sigkill(
     tmp_path: Path, deadline: float, shared: bool
 ) -> None:
-    """Clients go on sending on open connections until SIGKILL, at the first moment it may come. Found by
-    reading: with short deadlines a request taken in the last moment lost its answer."""
+    """Clients go on sending on open connections until SIGKILL, as early as it may come. Found by
+    reading: with short deadlines a request accepted at the last instant lost its answer."""
     for _ in range(PLAYS):
         with socket.create_server(("127.0.0.1", 0)) as listener:  # the platform's own, where it is shared
             sound, wrong = play_early_kill(tmp_path, deadline, listener if shared else None)
@@ -175,10 +175,10 @@
     assert times.take_until >= times.accept_until or deadline < 0.1
 
 
-def test_request_that_is_read_after_the_last_moment_is_refused_and_not_sent_on(
+def test_request_read_after_the_take_limit_is_rejected_and_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last moment comes at once here, the end of all reading much later."""
+    """The last answer is due at once here, the end of all reading much later."""
 
     def plan(now: float, *_: float) -> ShutdownTimes:
         return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -216,7 +216,7 @@
         assert _sent_to(upstreams[0], new) == 0 and new.counters()["cordoned"] == 1
 
 
-def test_folder_that_fails_is_told_and_tried_until_it_is_stored(
+def test_folder_that_fails_is_reported_and_retried_until_stored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with site(tmp_path, monkeypatch, 2) as (start, upstreams, _):
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -214,11 +214,11 @@
 
 
 @pytest.mark.parametrize(
-    ("owner", "method", "told"),
+    ("owner", "method", "status"),
     [(UpstreamClient, "send_attempt", 500), (ClientConnection, "send_final_response", 0)],
 )
 def test_order_that_raises_costs_its_request_alone(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, told: int
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, status: int
 ) -> None:
     """An attempt that cannot be begun counts as broken; a client that cannot be answered sees its connection
     closed, and doesn't wait for ever."""
@@ -232,7 +232,7 @@
             return 0
 
     async def script() -> None:
-        assert await asyncio.to_thread(ask) == told
+        assert await asyncio.to_thread(ask) == status
         await running.serves()
 
     running.play(script)
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -195,7 +195,7 @@
         wrong: list[object] = [fault for client in clients for fault in client.wrong]
         seen = [message.headers["request-id"] for peer in peers for message in peer.got]
         cut = {name for client in clients for name in client.lost} & set(seen)
-        wrong += [f"sent on, and not answered: {name}" for name in cut]
+        wrong += [f"forwarded, and not answered: {name}" for name in cut]
         if lost and trouble is nothing:
             wrong.append(f"{lost} requests lost before the shutdown")
         if code != 0:
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -60,7 +60,7 @@
                 peer.close()
 
 
-def test_upgrades_in_a_row_lose_no_job_and_no_connection(tmp_path: Path) -> None:
+def test_upgrades_in_a_row_lose_no_request_and_no_connection(tmp_path: Path) -> None:
     seen: list[int] = []
     numbers = iter(range(10**9))
 
@@ -118,7 +118,7 @@
         assert sorted(seen) == sorted(served)  # each ran exactly once
 
 
-def test_cordon_holds_over_an_upgrade_and_is_told_both_ways(tmp_path: Path) -> None:
+def test_cordon_holds_over_an_upgrade_and_is_merged_both_ways(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo, echo) as (_, upstreams, start):
         old = start()
         assert old.call("PUT", "cordon", "s-0") == 200
@@ -191,7 +191,7 @@
         assert len(upstreams[0].got) == had and old.counters()["cordoned"] == 1
 
 
-def test_job_half_written_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
+def test_request_half_written_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
     with _platform(tmp_path, echo) as (_, _nodes, start):
         old = start()
         with old.connect() as conn, old.connect() as other:
@@ -239,7 +239,7 @@
             )
 
 
-def test_cordons_told_to_the_old_process_while_the_new_one_starts(tmp_path: Path) -> None:
+def test_cordons_called_at_the_old_process_while_the_new_one_starts(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo) as (_, upstreams, start):
         old = start()
         for call, wait in zip(("cordon", "uncordon") * 2, (0.0, 0.1, 0.2, 0.3), strict=True):
@@ -277,12 +277,12 @@
 
 
 @pytest.mark.parametrize("handed", [True, False])
-def test_descriptor_that_is_no_listener_is_told(tmp_path: Path, handed: bool) -> None:
+def test_descriptor_that_is_no_listener_is_reported(tmp_path: Path, handed: bool) -> None:
     near, far = socket.socketpair()
     with near, far, running(tmp_path, echo) as (good, _, _d):
         if handed:
             process = start_process(good.config, subprocess.PIPE, near)
         else:
             process = start_process(good.config, subprocess.PIPE, BALANCER_LISTEN_FD="7")
-        told = process.communicate(timeout=WAIT)[1]
-        assert process.returncode == 1 and b"descriptor 7 is no socket that listens" in told
+        output = process.communicate(timeout=WAIT)[1]
+        assert process.returncode == 1 and b"descriptor 7 is no socket that listens" in output
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -24,7 +24,7 @@
 from tests import peers
 from tests.peers import entry, ok, parse_endpoint_list, request, running, until
 
-BOUND = 6.0  # s after which what a silent watch misses counts as told
+BOUND = 6.0  # s after which what a silent watch misses counts as notified
 LEFT = 2.5  # s of these that the next call needs at least: it waits in turn, and may be refused once
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LIST = b'{"index":1,"snapshot":true,"endpoints":[]}\n'
@@ -121,17 +121,19 @@
     assert len(found.listed) == lists + 1 and not found.failed  # for it was mended at once
 
 
-def test_discovery_that_never_answers_is_told_once_and_given_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_discovery_that_never_answers_is_reported_once_and_given_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     found = Watched(monkeypatch).run(60.0)
     assert len(found.calls) == 2 and len(found.failed) == 1
     assert found.failed[0] - found.calls[1] >= BOUND  # where it has too many callers, the second may wait
 
 
 @pytest.mark.parametrize("call", ["watch", "fetch"])
-def test_call_that_ends_of_an_unforeseen_exception_is_told_once(
+def test_call_that_ends_of_an_unforeseen_exception_is_reported_once(
     monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    """Found by reading: nobody was told, and no list was asked for any more."""
+    """Found by reading: nothing was reported, and no list was asked for any more."""
 
     async def broken(*_: object) -> None:
         raise ZeroDivisionError
@@ -144,7 +146,7 @@
 
 
 def test_list_that_could_not_be_taken_in_is_asked_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by reading: its version counted as had, and what it brought was never told again."""
+    """Found by reading: its version counted as had, and what it brought was never sent again."""
     found = Watched(monkeypatch, beats(2.0, 20), beats(2.0, 20), pushed=True)
     asked: list[int] = []
 
@@ -159,8 +161,10 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_watch_that_is_reset_is_told_or_opened_at_once(monkeypatch: pytest.MonkeyPatch, pushed: bool) -> None:
-    """What an agent that pushes has counts as told without a watch, too; discovery that is asked has many
+def test_watch_that_is_reset_is_reported_or_opened_at_once(
+    monkeypatch: pytest.MonkeyPatch, pushed: bool
+) -> None:
+    """What an agent that pushes has counts as notified without a watch, too; discovery that is asked has many
     callers, and when to ask it again is for the module to say."""
     script: list[tuple[float, bytes | None]] = [(0.0, HEAD + chunk(LIST)), (1.0, None)]
     found = Watched(monkeypatch, script, script, beats(2.0, 20), pushed=pushed).run(10.0)
@@ -170,7 +174,7 @@
         assert found.calls == [0.0] and found.failed == pytest.approx([1.0], abs=0.01)
 
 
-def test_agent_that_is_away_is_called_again_soon_and_not_in_a_spin(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_agent_that_is_away_is_called_again_soon_without_a_busy_loop(monkeypatch: pytest.MonkeyPatch) -> None:
     refused: list[tuple[float, bytes | None]] = [(0.0, None)]
     found = Watched(monkeypatch, *[refused] * 40, beats(2.0, 20), pushed=True).run(10.0)
     assert len(found.calls) == 41 and not found.failed and len(found.listed) == 1
@@ -178,7 +182,9 @@
     assert 0.02 <= min(gaps) <= max(gaps) <= 0.1
 
 
-def test_agent_whose_lists_cannot_be_read_is_not_called_in_a_spin(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_agent_whose_lists_cannot_be_read_is_not_called_in_a_busy_loop(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """It answers, and what it says ends the watch at once, each time."""
     spoilt: list[tuple[float, bytes | None]] = [(0.0, HEAD + chunk(b"what is this\n"))]
     found = Watched(monkeypatch, *[spoilt] * 1000, pushed=True).run(1.0)
@@ -214,7 +220,7 @@
         b"{\n" * 10 + b'{"index":3,"snapshot":true,"endpoints":[]}\n',
     ],
 )
-def test_spoilt_list_ends_the_watch_at_once_and_is_told_once(
+def test_invalid_list_ends_the_watch_at_once_and_is_reported_once(
     monkeypatch: pytest.MonkeyPatch, spoilt: bytes
 ) -> None:
     found = Watched(monkeypatch, [(0.0, HEAD + chunk(LIST)), (1.0, chunk(spoilt))]).run(10.0)
@@ -231,17 +237,17 @@
         self.let, self.asked = threading.Event(), threading.Event()
         super().__init__()
 
-    def _talk(self, conn: socket.socket) -> None:
+    def _serve_connection(self, conn: socket.socket) -> None:
         self.asked.set()
         self.let.wait(peers.WAIT)
-        super()._talk(conn)
+        super()._serve_connection(conn)
 
 
 PUSHED = {**peers.SETTINGS, "membership-mode": "pushed"}
 
 
 def test_where_lists_are_pushed_the_program_watches(tmp_path: Path) -> None:
-    """Found on a deployment of our own: it never asked there, and sent on to upstreams that drained."""
+    """Found on a deployment of our own: it never asked there, and forwarded requests to upstreams that drained."""
     with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED) as (program, upstreams, discovery):
         until(lambda: bool(discovery.watches))
         drained = entry("s-0", upstreams[0].port, "Terminating")
@@ -262,7 +268,7 @@
 
 
 def test_where_lists_are_pushed_the_old_list_alone_sends_nothing(tmp_path: Path) -> None:
-    """What the agent has binds from the first moment of a process on: a request that comes before its word
+    """What the agent has binds from the start of a process on: a request that comes before its word
     waits for that word. The answer of the agent is held back until the request is here."""
     agent = Agent()
     with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED, discovery=agent, wait=False) as (
@@ -295,7 +301,7 @@
 
 @pytest.mark.parametrize("poll_within", [2.0, 10.0, 600.0])
 def test_discovery_that_comes_back_is_asked_in_time_for_what_it_has(poll_within: float) -> None:
-    """However many calls failed, a change counts as told 6 s after discovery could be reached. A connect that
+    """However many calls failed, a change counts as notified 6 s after discovery could be reached. A connect that
     began before that asks again after 1 s, and so lasts 1 s more at the most, of its 2, where it fails: that
     and the wait leave 2 s for the answer."""
     settings = Settings(
--- a/tests/test_facade.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's books: one ending an attempt, one answer a request, what is due when."""
+"""The coordinator: one outcome an attempt, one answer a request, timers in their order."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return effects.attempts[0], effects
 
 
-def test_first_served_claim_answers_and_a_late_one_is_dropped() -> None:
+def test_first_successful_attempt_answers_and_a_late_one_is_ignored() -> None:
     coordinator = start()
     attempt, _ = take(coordinator)
     effects = coordinator.report(100.1, attempt, AttemptOutcome.OK)
@@ -44,14 +44,14 @@
 @pytest.mark.parametrize(
     ("budget", "margin"), [(1.5, 0.05), (0.52, 0.02), (0.5, 0.01), (0.1, 0.01), (0.004, 0.002)]
 )
-def test_last_word_leaves_room_for_a_burst_unless_that_costs_worth(budget: float, margin: float) -> None:
+def test_final_answer_leaves_a_margin_unless_that_costs_the_objective(budget: float, margin: float) -> None:
     """Lost on an overload day: a request whose answer was delayed by the end of all attempts on a dead
     upstream."""
     attempt, _ = take(start(), budget=budget)
     assert attempt.until == pytest.approx(100.0 + budget - margin)
 
 
-def test_last_word_comes_before_the_deadline_though_no_claim_returned() -> None:
+def test_final_answer_comes_before_the_deadline_though_no_attempt_returned() -> None:
     coordinator = start(limits=Limits(max_attempts=1))
     attempt, _ = take(coordinator)
     assert attempt.until == pytest.approx(101.0 - RESPONSE_MARGIN_S) and coordinator.may_begin(100.0, attempt)
@@ -86,7 +86,7 @@
     assert [a.status for a in effects.answers] == ([] if again else [FinalStatus.FAILED])
 
 
-def test_no_claim_begins_on_a_node_that_has_begun_to_drain() -> None:
+def test_no_attempt_begins_on_an_upstream_that_has_begun_to_drain() -> None:
     """The connection came up after the news did."""
     coordinator = start()
     attempt, _ = take(coordinator)
@@ -99,7 +99,7 @@
     assert coordinator.report(100.1, attempt, AttemptOutcome.NOT_SENT).attempts[0].upstream != upstream.name
 
 
-def test_no_claim_begins_for_a_job_that_is_over() -> None:
+def test_no_attempt_begins_for_a_request_that_is_answered() -> None:
     coordinator = start()
     attempt, _ = take(coordinator)
     assert coordinator.client_disconnected(100.1, "j").cancelled == [("j", 0)]
@@ -121,14 +121,14 @@
     assert coordinator.may_begin(100.0 + after, repeat) is allowed
 
 
-def test_max_open_is_refused_at_once_and_with_a_wait() -> None:
+def test_request_over_max_open_is_rejected_at_once_with_retry_after() -> None:
     coordinator = start(limits=Limits(max_open_requests=1, max_retry_after=1.2))
     take(coordinator)
     effects = coordinator.pick(100.0, Request("k", "view", 1.0))
     assert effects.answers == [FinalAnswer("k", FinalStatus.REJECTED, 1.2)] and not coordinator.is_open("k")
 
 
-def test_fault_in_the_module_costs_the_job_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fault_in_the_balancer_costs_its_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     coordinator = start()
 
     def fail(now: float, event: object) -> list[Action]:
@@ -140,7 +140,7 @@
     assert coordinator.faults == 1 and coordinator.unanswered == 0
 
 
-def test_without_nodes_a_job_is_answered_in_time() -> None:
+def test_without_upstreams_a_request_is_answered_in_time() -> None:
     coordinator = RequestCoordinator(make_settings(), 1, 0.0)
     assert not coordinator.has_upstreams()
     assert coordinator.pick(100.0, Request("j", "view", 1.0)).attempts == []
@@ -160,7 +160,7 @@
     assert coordinator._balancer.learned_figures()[1][NODES[0].name].member.started == started
 
 
-def test_withdrawn_claim_gets_one_ending(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancelled_attempt_gets_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     coordinator = start()
     attempt, _ = take(coordinator)
     seen: list[object] = []
@@ -177,7 +177,7 @@
     assert endings == [AttemptOutcome.CANCELLED]
 
 
-def test_agenda_does_not_grow_with_the_time_that_submitters_name() -> None:
+def test_timer_queue_does_not_grow_with_the_time_that_clients_allow() -> None:
     coordinator = start()
     for number in range(2000):
         now = 100.0 + number * 0.01
@@ -193,9 +193,9 @@
     assert [answer.request for answer in answers] == ["last"]
 
 
-def test_news_for_many_jobs_reach_the_module_whole() -> None:
+def test_update_for_many_waiting_requests_reaches_the_balancer_completely() -> None:
     """Found by reading: of the events that one call sets off, those after the first 1,000 were dropped. Here
-    1,200 long requests wait for an upstream, and for each the module is told that its answer has its own
+    1,200 long requests wait for an upstream, and for each the balancer learns that its answer has its own
     time."""
     coordinator, count = start(limits=Limits(hedging=True)), 1200
     coordinator.update_endpoints(100.0, EndpointList(2, True, ()))
@@ -227,7 +227,7 @@
     assert ("shedding load" in notes) == sheds
 
 
-def test_fault_in_one_entry_of_the_agenda_costs_that_entry_alone() -> None:
+def test_fault_in_one_timer_costs_that_timer_alone() -> None:
     coordinator = start(limits=Limits(max_attempts=1))
     take(coordinator, id="before", budget=1.0)
     take(coordinator, id="after", budget=1.2)
@@ -242,7 +242,7 @@
 
 
 def test_attempts_that_never_began_do_not_count_but_for_a_bound() -> None:
-    """This machine had no port for a moment: one attempt was allowed, and the request was refused at once."""
+    """This machine had no free port: one attempt was allowed, and the request was rejected at once."""
     coordinator = start(limits=Limits(max_attempts=1))
     coordinator.update_endpoints(
         100.0, EndpointList(1, True, tuple(replace(NODES[0], name=f"s-{i}") for i in range(9)))
