--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -1,6 +1,7 @@
-"""Random cancels of opens, with resets, closes and drains among them; then what books and process hold.
+"""Random cancels of connection attempts, among resets, closes and drains; then what the pool and the process
+still hold.
 
-Run as ``python -m benchmarks.cancels [--opens N] [--seed N]``. Exits 1 if anything is left.
+Run as ``python -m benchmarks.cancels [--opens N] [--seed N]``. Exits 1 if anything remains.
 """
 
 from __future__ import annotations
@@ -10,36 +11,52 @@
 import socket
 import struct
 import time
+from collections import Counter
+from collections.abc import Callable
 from random import Random
 
 import uvloop
 
 from indigokeel.net.upstream import (
+    CloseReason,
     ConnectFailure,
     ConnectionLimits,
     ConnectionPool,
     ConnectionWaiter,
     DescriptorLeakDetector,
+    PoolOptions,
+    Telemetry,
     UpstreamConnection,
 )
 from indigokeel.net.upstream.descriptor_audit import sockets
 
+_MAX_HELD = 40  # connections and waiters at a time
+_OPENS_PER_AUDIT = 5000
+
 
 class _Silence:
-    def heard(self, data: bytes) -> None:
-        """Nothing is made of it."""
+    """A handler of connections that ignores all events."""
+
+    def on_data(self, data: bytes) -> None:
+        """Ignore data."""
 
-    def lost(self, unsent: bool, ended: bool, local: bool) -> None:
-        """Nor of its end."""
+    def on_writable(self) -> None:
+        """Ignore the end of a write."""
+
+    def on_closed(self, reason: CloseReason) -> None:
+        """Ignore the end."""
 
 
 class _Peer(asyncio.Protocol):
-    """An upstream that, by chance, resets or closes at once, or stays."""
+    """An upstream that resets or closes at once at random, or stays."""
 
     def __init__(self, random: Random, open_: dict[int, str]) -> None:
-        self._random, self._open, self._fd = random, open_, -1
+        self._random = random
+        self._open = open_
+        self._fd = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Reset, close or keep the connection."""
         sock = transport.get_extra_info("socket")
         self._fd = sock.fileno()
         self._open[self._fd] = "peer"
@@ -50,36 +67,68 @@
             transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the descriptor."""
         self._open.pop(self._fd, None)
 
 
 async def play(opens: int, seed: int) -> dict[str, int]:
-    """Play them; what was done, and what is left."""
-    loop, random = asyncio.get_running_loop(), Random(seed)
+    """Open and cancel so many connections; return what was done, and what remains."""
+    loop = asyncio.get_running_loop()
+    random = Random(seed)
     peers: dict[int, str] = {}
     server = await loop.create_server(lambda: _Peer(random, peers), "127.0.0.1", 0, backlog=4096)
-    upstreams = [("n0", server.sockets[0].getsockname())]
-    closed = socket.create_server(("127.0.0.1", 0))
-    upstreams.append(("n1", closed.getsockname()))
-    closed.close()
-    counts: dict[str, int] = {}
+    upstreams = [("n0", server.sockets[0].getsockname()), ("n1", _unused_address())]
+    counts: Counter[str] = Counter()
 
-    def count(what: str) -> None:
-        counts[what] = counts.get(what, 0) + 1
+    def count(name: str) -> None:
+        counts[name] += 1
 
     connections = ConnectionPool(
-        ConnectionLimits.of(216), lambda _: _Silence(), count, lambda *_: None, time.monotonic, seed, 0.25
+        ConnectionLimits.of(216),
+        lambda _: _Silence(),
+        Telemetry(count, lambda *_: None, time.monotonic),
+        PoolOptions(seed=seed, connect_timeout_s=0.25),
     )
+    own = set(sockets())
     audit = DescriptorLeakDetector(
         lambda: connections.table, connections.discard, lambda: peers, count, lambda *_: None, time.monotonic
     )
+    await _open_and_cancel(opens, random, upstreams, connections, audit)
+    connections.end()
+    await asyncio.sleep(0.1)
+    server.close()
+    await asyncio.sleep(0.1)
+    audit.look()
+    audit.look()
+    return {
+        **counts,
+        "in_table": len(connections.table),
+        "waiting": connections.waiting(),
+        "sockets_remaining": len(set(sockets()) - own - set(peers)),
+    }
+
+
+def _unused_address() -> tuple[str, int]:
+    """Return an address that refuses connections."""
+    with socket.create_server(("127.0.0.1", 0)) as closed:
+        address: tuple[str, int] = closed.getsockname()
+    return address
+
+
+async def _open_and_cancel(
+    opens: int,
+    random: Random,
+    upstreams: list[tuple[str, tuple[str, int]]],
+    connections: ConnectionPool,
+    audit: DescriptorLeakDetector,
+) -> None:
+    """Acquire connections, and cancel, release or close them at random."""
     held: list[UpstreamConnection | ConnectionWaiter] = []
     for number in range(opens):
         upstream, address = upstreams[random.random() < 0.1]
-        held.append(
-            connections.acquire(upstream, address, random.choice((0.0, 0.001, 0.2)), count_ready(held))
-        )
-        while len(held) > 40 or (held and random.random() < 0.4):
+        patience_s = random.choice((0.0, 0.001, 0.2))
+        held.append(connections.acquire(upstream, address, patience_s, _hold_when_ready(held)))
+        while len(held) > _MAX_HELD or (held and random.random() < 0.4):
             found = held.pop(random.randrange(len(held)))
             if isinstance(found, ConnectionWaiter):
                 connections.cancel(found)
@@ -89,25 +138,14 @@
             connections.close_to(upstream)
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
             await asyncio.sleep(0)
-        if number % 5000 == 0:
+        if number % _OPENS_PER_AUDIT == 0:
             audit.look()
-    connections.end()
-    await asyncio.sleep(0.1)
-    server.close()
-    await asyncio.sleep(0.1)
-    audit.look()
-    audit.look()
-    left = len(set(sockets()) - set(audit._own) - set(peers))
-    return {
-        **counts,
-        "in_books": len(connections.table),
-        "waiting": connections.waiting(),
-        "sockets_left": left,
-    }
 
 
-def count_ready(held: list[UpstreamConnection | ConnectionWaiter]):  # type: ignore[no-untyped-def]
-    """What a wait is told: a connection joins those held."""
+def _hold_when_ready(
+    held: list[UpstreamConnection | ConnectionWaiter],
+) -> Callable[[UpstreamConnection | ConnectFailure], None]:
+    """Return the callback of a waiter: its connection joins those held."""
 
     def ready(connection: UpstreamConnection | ConnectFailure) -> None:
         if isinstance(connection, UpstreamConnection):
@@ -117,6 +155,7 @@
 
 
 def main() -> None:
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--opens", type=int, default=200_000)
     parser.add_argument("--seed", type=int, default=1)
@@ -125,8 +164,8 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         found = runner.run(play(options.opens, options.seed))
     print(f"{options.opens} opens in {time.monotonic() - began:.1f} s: {found}")
-    bad = found["in_books"] + found["waiting"] + found.get("audit_phantoms", 0) + found.get("audit_strays", 0)
-    raise SystemExit(1 if bad or found["sockets_left"] > 0 else 0)
+    bad = found["in_table"] + found["waiting"] + found.get("audit_phantoms", 0) + found.get("audit_strays", 0)
+    raise SystemExit(1 if bad or found["sockets_remaining"] > 0 else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -1,7 +1,8 @@
-"""A crowd that fills the descriptors: lag, memory and descriptors of the sidecar, and what true requests get.
+"""A crowd of clients that exhausts the descriptors: lag, memory and descriptors of the sidecar, and the
+responses to ordinary requests.
 
-A third of the crowd says nothing, a third sends half a request, a third asks once and stays; each stays for
-three seconds. Beside them true requests come on connections of their own. Two checkouts take turns.
+A third of the crowd sends nothing, a third sends half a request, a third sends one request and stays; each
+stays for three seconds. Ordinary requests are sent on connections of their own. Two checkouts take turns.
 Run as ``python -m benchmarks.crowd [--other DIR]``.
 """
 
@@ -22,11 +23,14 @@
 
 from benchmarks.exchange import ROOT, memory_kb, roles, start_daemon
 
-_STAY = 3.0  # s
-_LATE = 0.6  # s, the aim of both classes
+_STAY_S = 3.0
+_LATENCY_OBJECTIVE_S = 0.6  # of both classes
+_RESPONSE_TIMEOUT_S = 3.0
+_SAMPLE_INTERVAL_S = 0.05
 
 
 def _message(number: int) -> bytes:
+    """Return a request."""
     return (
         b"GET /view/k HTTP/1.1\r\nHost: a\r\nRequest-Id: %d\r\nRequest-Class: view\r\n"
         b"Request-Timeout-Ms: 1200\r\n\r\n" % number
@@ -34,33 +38,37 @@
 
 
 async def _idle(port: int, number: int) -> None:
+    """Be one client of the crowd."""
     with contextlib.suppress(OSError):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write((b"", _message(number)[:-2], _message(number))[number % 3])
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_STAY):
+            async with asyncio.timeout(_STAY_S):
                 while await reader.read(65536):
                     pass
         writer.close()
 
 
 async def _ask(port: int, number: int, ends: Counter[str], times: list[float]) -> None:
+    """Send an ordinary request; record how it ended, and after how many seconds."""
     began = time.perf_counter()
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(_message(number))
-        async with asyncio.timeout(3.0):
+        async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
             line = await reader.readuntil(b"\r\n")
         writer.close()
     except (OSError, EOFError, TimeoutError) as error:
         ends[type(error).__name__] += 1
         return
-    took = time.perf_counter() - began
-    times.append(took)
-    ends["in time" if b" 200 " in line and took <= _LATE else line.decode().split()[1]] += 1
+    elapsed_s = time.perf_counter() - began
+    times.append(elapsed_s)
+    in_time = b" 200 " in line and elapsed_s <= _LATENCY_OBJECTIVE_S
+    ends["in time" if in_time else line.decode().split()[1]] += 1
 
 
 async def _play(port: int, pid: int, seconds: float, crowd: int, rate: int) -> dict[str, object]:
+    """Run the load against one sidecar; return the figures."""
     ends: Counter[str] = Counter()
     times: list[float] = []
     most = {"descriptors": 0, "memory_kb": 0}
@@ -68,13 +76,13 @@
     while (now := time.perf_counter() - began) < seconds:
         while number < now * (crowd + rate):
             number += 1
-            true = number % (crowd + rate) < rate
-            call = _ask(port, number, ends, times) if true else _idle(port, number)
+            ordinary = number % (crowd + rate) < rate
+            call = _ask(port, number, ends, times) if ordinary else _idle(port, number)
             tasks.append(asyncio.create_task(call))
         most["descriptors"] = max(most["descriptors"], len(os.listdir(f"/proc/{pid}/fd")))
         most["memory_kb"] = max(most["memory_kb"], memory_kb(pid))
         os.kill(pid, signal.SIGUSR1)
-        await asyncio.sleep(0.05)
+        await asyncio.sleep(_SAMPLE_INTERVAL_S)
     await asyncio.gather(*tasks)
     times.sort()
     return {**most, "asked": sum(ends.values()), **ends, "p50_ms": round(1e3 * statistics.median(times), 1),
@@ -82,35 +90,44 @@
 
 
 def main() -> None:
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--crowd", type=int, default=900, help="connections a second")
-    parser.add_argument("--rate", type=int, default=60, help="true requests a second")
+    parser.add_argument("--rate", type=int, default=60, help="ordinary requests a second")
     parser.add_argument("--sockets", type=int, default=576)
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--other", type=Path)
     options = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    with roles(("node",), ("node",), ("discovery",)) as peers:
-        upstreams, discovery = [p.port for p in peers[:-1]], peers[-1].port
+    with roles(("upstream",), ("upstream",), ("discovery",)) as peers:
+        upstreams = [peer.port for peer in peers[:-1]]
         for _ in range(options.rounds):
             for root in (ROOT, options.other) if options.other else (ROOT,):
-                with tempfile.TemporaryDirectory() as name:
-                    process, port = start_daemon(Path(name), upstreams, discovery, options.sockets, root)
-                    play = _play(port, process.pid, options.seconds, options.crowd, options.rate)
-                    found = asyncio.run(play)
-                    process.terminate()
-                    process.wait()
-                    log = (Path(name) / "log").read_text().splitlines()
-                counts = [json.loads(line.partition("counters ")[2]) for line in log if "counters " in line]
-                lags = sorted(count["loop_lag_ms"] for count in counts)
-                lag = {
-                    "lag_p50_ms": lags[len(lags) // 2],
-                    "lag_most_ms": lags[-1],
-                    "cpu_s": counts[-1]["cpu_s"],
-                }
-                print("this" if root == ROOT else "other", json.dumps({**found, **lag}), flush=True)
+                figures = _measure(root, upstreams, peers[-1].port, options)
+                print("this" if root == ROOT else "other", json.dumps(figures), flush=True)
+
+
+def _measure(
+    root: Path, upstreams: list[int], discovery: int, options: argparse.Namespace
+) -> dict[str, object]:
+    """Run the sidecar of one checkout under the load; return the figures."""
+    with tempfile.TemporaryDirectory() as name:
+        process, port = start_daemon(Path(name), upstreams, discovery, options.sockets, root)
+        load = _play(port, process.pid, options.seconds, options.crowd, options.rate)
+        figures = asyncio.run(load)
+        process.terminate()
+        process.wait()
+        log = (Path(name) / "log").read_text().splitlines()
+    counters = [json.loads(line.partition("counters ")[2]) for line in log if "counters " in line]
+    lags_ms = sorted(count["loop_lag_ms"] for count in counters)
+    return {
+        **figures,
+        "lag_p50_ms": lags_ms[len(lags_ms) // 2],
+        "lag_most_ms": lags_ms[-1],
+        "cpu_s": counters[-1]["cpu_s"],
+    }
 
 
 if __name__ == "__main__":
--- a/indigokeel/net/downstream/client_connection.py
+++ b/indigokeel/net/downstream/client_connection.py
@@ -208,7 +208,7 @@
 
     def abort(self) -> None:
         """Close at once, whatever is unread or unwritten."""
-        self._dispatcher.ended = True
+        self._dispatcher.mark_ended()
         self._close.abort()
 
     def evict(self) -> bool:
--- a/indigokeel/net/downstream/current_exchange.py
+++ b/indigokeel/net/downstream/current_exchange.py
@@ -33,6 +33,7 @@
         "_counters",
         "_handler",
         "_input",
+        "_keep_alive",
         "_timeouts",
         "_writer",
         "busy",
@@ -54,20 +55,30 @@
         self._input = request_input
         self._writer = writer
         self._timeouts = timeouts
+        self._keep_alive = True  # the connection persists after the current response
         self.busy = False  # a request is being served or responded to
         self.request_id = ""  # of the request that the sidecar serves, until its response
 
     def begin(self, keep_alive: bool) -> None:
         """Start an exchange, after which the connection persists if the client wants it so."""
         self.busy = True
-        self._writer.keep_alive = keep_alive
+        self._keep_alive = keep_alive
+
+    def on_accepted(self, request_id: str) -> None:
+        """Note that the sidecar serves the request from now on."""
+        self.request_id = request_id
+
+    def cancel(self) -> None:
+        """Give up the request that is being served; nothing more is written for it."""
+        self.busy = False
+        self.release_request()
 
     def respond(self, final: FinalResponse) -> None:
         """Write the response of the sidecar."""
         self._counters.add("answers_written")
         self._input.discard_active_stream()
         self._decide_keep_alive()
-        if self._writer.write_response(final):
+        if self._writer.write_response(final, close=not self._keep_alive):
             self.on_written()
 
     def respond_error(self, error: RequestError) -> None:
@@ -76,13 +87,19 @@
         self._input.flow.count_error()
         self._input.discard_active_stream()
         self._decide_keep_alive()
-        self._writer.write_error(error)
+        self._writer.write_error(error, close=not self._keep_alive)
+        self.on_written()
+
+    def respond_health(self) -> None:
+        """Write the response to a health check."""
+        self._counters.add("health_checks")
+        self._writer.write_health(self._handler.is_healthy(), close=not self._keep_alive)
         self.on_written()
 
     def _decide_keep_alive(self) -> None:
         """Close the connection after this response if the sidecar wants it so and no request follows."""
         if (self._handler.closing or self._handler.is_crowded()) and not self._input.has_more_requests():
-            self._writer.keep_alive = False
+            self._keep_alive = False
 
     def on_written(self) -> None:
         """Note that the response is written, and end the connection if it does not persist."""
@@ -90,23 +107,23 @@
         if self._input.active_stream() is not None:
             return  # the rest of the body is read first: a close would reset it
         self._timeouts.restart(time.monotonic())
-        if not self._writer.keep_alive and not self._input.is_discarding_body():
+        if not self._keep_alive and not self._input.is_discarding_body():
             self._connection().on_finished()
 
     # --- the request's body ---------------------------------------------------------------------------
 
     def on_body_discarded(self) -> None:
         """End a connection that was kept open only to read the rest of a body."""
-        if not self._writer.keep_alive and not self.busy and self._input.pipeline.first() is None:
+        if not self._keep_alive and not self.busy and self._input.pipeline.first() is None:
             self._connection().on_finished()
 
     def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
         """Note the last byte of the streamed body of the request that is being served."""
-        self._writer.keep_alive = self._writer.keep_alive and keep_alive
+        self._keep_alive = self._keep_alive and keep_alive
         request_stream.end()
         if self.request_id:
             self._handler.request_body_received(self.request_id)
-        elif not self._writer.is_streaming() and not self._writer.keep_alive:
+        elif not self._writer.is_streaming() and not self._keep_alive:
             self._connection().on_finished()
 
     def release_request(self) -> None:
--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -122,7 +122,7 @@
         elif request_input.flow.stopped:
             if request_input.read_error is not None:
                 self._counters.add("messages_malformed")
-                self.writer.write_last_error(request_input.read_error)
+                self.writer.write_error(request_input.read_error, close=True)
             self._connection().on_finished()
         elif request_input.continue_expected:
             request_input.continue_expected = False
@@ -138,9 +138,7 @@
         elif pending.received is not None:
             self._accept(pending.arrived_at, pending.received, admitted)
         else:
-            self._counters.add("health_checks")
-            self.writer.write_health(self._handler.is_healthy())
-            self.exchange.on_written()
+            self.exchange.respond_health()
 
     # --- admission ------------------------------------------------------------------------------------
 
@@ -175,7 +173,7 @@
         else:
             self._counters.add("requests_accepted")
             self.input.flow.reset_errors()
-            self.exchange.request_id = request.id
+            self.exchange.on_accepted(request.id)
             request.budget = budget_s
             request.waited = waited_s
             self._handler.handle_request(self._connection(), now, request, received.outbound)
@@ -237,6 +235,10 @@
 
     # --- the end --------------------------------------------------------------------------------------
 
+    def mark_ended(self) -> None:
+        """Serve nothing more."""
+        self.ended = True
+
     def stop(self) -> None:
         """Drop all requests; serve and parse nothing more."""
         self.ended = True
@@ -249,18 +251,16 @@
         if self.input.flow.stopped:
             return
         if self.exchange.request_id and self.input.active_stream() is not None:
-            self.exchange.release_request()
-            self.exchange.busy = False
+            self.exchange.cancel()
         self.input.fail(error)
 
     def refuse_all(self, error: RequestError) -> None:
         """Respond to everything that was read that it will not be served, in order."""
         if self.exchange.busy:
-            self.exchange.busy = False
-            self.exchange.release_request()
-            self.writer.write_last_response(FinalResponse(FinalStatus.FAILED))
+            self.exchange.cancel()
+            self.writer.write_response(FinalResponse(FinalStatus.FAILED), close=True)
         for refusal in self.input.drain_errors(error, self.on_read_error):
-            self.writer.write_last_error(refusal)
+            self.writer.write_error(refusal, close=True)
 
     # --- internal errors ------------------------------------------------------------------------------
 
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -213,8 +213,10 @@
         self.in_message = False
         self.messages_parsed += 1
         keep_alive = self._parser.should_keep_alive()
-        received, self._received = self._received, None
-        request_stream, self.request_stream = self.request_stream, None
+        received = self._received
+        self._received = None
+        request_stream = self.request_stream
+        self.request_stream = None
         if request_stream is not None and received is not None:
             self._events.on_stream_ended(request_stream, received, keep_alive)
         elif self.answered:
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -30,7 +30,7 @@
 class ResponseWriter:
     """Write responses, and read streamed ones from their upstream (``streams.Reader``)."""
 
-    __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "keep_alive", "write_paused")
+    __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "write_paused")
 
     def __init__(self, events: WriterEvents, timeouts: ClientTimeouts, counters: Counters) -> None:
         self._events = events
@@ -38,7 +38,6 @@
         self._counters = counters
         self._transport: asyncio.Transport
         self._stream: ResponseStream | None = None
-        self.keep_alive = True  # whether the connection persists after the current response
         self.write_paused = False  # the client does not accept more output for now
 
     def connected(self, transport: asyncio.Transport) -> None:
@@ -53,39 +52,31 @@
         """Invite the client to send the body that it holds back."""
         self._transport.write(_CONTINUE)
 
-    def write_health(self, healthy: bool) -> None:
-        """Write the response to a health check."""
-        self._transport.write(http.head(200 if healthy else 503, 0, close=not self.keep_alive))
+    def write_health(self, healthy: bool, close: bool) -> None:
+        """Write the response to a health check; ``close`` if the connection ends with it."""
+        self._transport.write(http.head(200 if healthy else 503, 0, close=close))
 
-    def write_error(self, error: RequestError) -> None:
+    def write_error(self, error: RequestError, close: bool) -> None:
         """Write the response to a request that cannot be served."""
-        self._transport.write(encode_error(error, close=not self.keep_alive))
+        self._transport.write(encode_error(error, close=close))
 
-    def write_last_error(self, error: RequestError) -> None:
-        """Write an error response after which the connection closes."""
-        self._transport.write(encode_error(error, close=True))
-
-    def write_last_response(self, final: FinalResponse) -> None:
-        """Write a response after which the connection closes."""
-        self._transport.write(b"".join(final.encode(close=True)))
-
-    def write_response(self, final: FinalResponse) -> bool:
-        """Write a final response; return False if it is streamed and only begun."""
+    def write_response(self, final: FinalResponse, close: bool) -> bool:
+        """Write a final response, or start it if it is streamed; return whether it is complete."""
         response = final.response
         if response is not None and response.stream is not None:
-            self._start_stream(response.stream)
+            self._start_stream(response.stream, close)
             return False
-        parts = final.encode(close=not self.keep_alive)
+        parts = final.encode(close=close)
         self._transport.write(b"".join(parts) if len(parts) > 1 else parts[0])
         return True
 
     # --- streamed responses ---------------------------------------------------------------------------
 
-    def _start_stream(self, stream: ResponseStream) -> None:
+    def _start_stream(self, stream: ResponseStream, close: bool) -> None:
         """Write the head, and let the body follow as it arrives."""
         self._stream = stream
         self._timeouts.restart(time.monotonic())
-        self._transport.write(http.head(200, stream.length, close=not self.keep_alive))
+        self._transport.write(http.head(200, stream.length, close=close))
         stream.attach(self)
 
     def body(self, chunks: http.Body) -> None:
