--- a/indigokeel/net/downstream/request_input.py
+++ b/indigokeel/net/downstream/request_input.py
@@ -72,13 +72,13 @@
         """Read the rest of the body of the request in service, which has its response, and discard it."""
         request_stream = self.active_stream()
         if request_stream is not None:
-            request_stream.drop()
+            request_stream.discard()
             self.parser.answered = True
 
     def drop_request_stream(self) -> None:
         """Forward nothing more of the body that is being read."""
         if self.parser.request_stream is not None:
-            self.parser.request_stream.drop()
+            self.parser.request_stream.discard()
 
     # --- the end of reading ---------------------------------------------------------------------------
 
--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -62,7 +62,7 @@
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
         """Queue a complete request."""
         self._timeouts.restart(time.monotonic())
-        received.outbound.left = self._events.has_disconnected
+        received.outbound.has_client_left = self._events.has_disconnected
         self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
 
     def on_health_check(self, keep_alive: bool) -> None:
@@ -86,7 +86,7 @@
 
     def on_stream_started(self, received: ReceivedRequest) -> None:
         """Hold a request whose body is streamed until its turn."""
-        received.outbound.left = self._events.has_disconnected
+        received.outbound.has_client_left = self._events.has_disconnected
         self.streamed_request = received
 
     def on_stream_ended(
@@ -103,7 +103,7 @@
         self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
     ) -> None:
         """Queue a request whose body was complete before its turn: it need not be streamed."""
-        received.outbound.body = request_stream.all()
+        received.outbound.body = request_stream.buffered()
         received.outbound.request_stream = None
         received.request.long = False
         self.streamed_request = None
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -104,16 +104,16 @@
         stream = self._stream
         self._stream = None
         if stream is not None:
-            stream.abandon()
+            stream.cancel()
 
     def pause(self) -> None:
         """Stop the streamed response: the client does not accept more for now."""
         self.write_paused = True
         if self._stream is not None:
-            self._stream.wait()
+            self._stream.pause()
 
     def resume(self) -> None:
         """Continue the streamed response."""
         self.write_paused = False
         if self._stream is not None:
-            self._stream.go_on()
+            self._stream.resume()
--- a/indigokeel/net/messages.py
+++ b/indigokeel/net/messages.py
@@ -24,7 +24,7 @@
     request_stream: RequestStream | None = None  # in place of ``body``, if that is long
     # Called right before an attempt's first byte: returns whether the client has disconnected, so that the
     # attempt must not be sent, and reports the disconnect.
-    left: Callable[[], bool] = lambda: False
+    has_client_left: Callable[[], bool] = lambda: False
 
 
 @dataclass(slots=True)
--- a/indigokeel/net/streams.py
+++ b/indigokeel/net/streams.py
@@ -99,11 +99,6 @@
             self._reader = None
             self.on_cancel()
 
-    # The names that indigokeel.net.downstream uses.
-    wait = pause
-    go_on = resume
-    abandon = cancel
-
 
 class Sink(Protocol):
     """The connection that a body goes to."""
@@ -197,7 +192,3 @@
         if self._is_source_paused:
             self._is_source_paused = False
             self._source.resume()
-
-    # The names that indigokeel.net.downstream uses.
-    drop = discard
-    all = buffered
--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -116,7 +116,7 @@
     @property
     def key(self) -> tuple[str, int]:
         """The request and the number of the attempt in it."""
-        return self.attempt.request, self.attempt.number
+        return self.attempt.request_id, self.attempt.number
 
     @property
     def is_cancellable(self) -> bool:
@@ -173,7 +173,7 @@
         message = [b"%s%d%s" % (self._head_before, remaining_ms, self._head_after)]
         if outbound.has_body and outbound.request_stream is None:
             message += outbound.body
-        if outbound.left():
+        if outbound.has_client_left():
             self._was_abandoned = True
             return None
         services = self._services
@@ -251,7 +251,7 @@
         If its client has disconnected, the request has ended, and with it an attempt that was never written.
         """
         is_retry = self._backoff is not None
-        if not self._was_abandoned or (is_retry and self._services.policy.is_open(self.attempt.request)):
+        if not self._was_abandoned or (is_retry and self._services.policy.is_open(self.attempt.request_id)):
             self.end_soon(AttemptOutcome.NOT_SENT)
         else:
             self._services.owner.on_attempt_dropped(self)
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -91,7 +91,7 @@
 
     def _start(self, attempt: Attempt) -> None:
         """Start an attempt. If that raises, it may have been written in part and counts as broken."""
-        waiting = self._waiting.get(attempt.request)
+        waiting = self._waiting.get(attempt.request_id)
         if waiting is None:
             return
         try:
@@ -99,14 +99,14 @@
         except Exception as error:
             self._supervisor.fault("an attempt", error)
             cancel = self._upstream_client.cancel_attempt
-            self._supervisor.run_guarded("cancelling an attempt", cancel, attempt.request, attempt.number)
+            self._supervisor.run_guarded("cancelling an attempt", cancel, attempt.request_id, attempt.number)
             broken = UpstreamResponse(AttemptOutcome.BROKEN)
             asyncio.get_running_loop().call_soon(self._attempt_ended, attempt, broken)
 
     def _answer(self, answer: FinalAnswer, response: UpstreamResponse | None) -> None:
         """Pass a final answer to its client; the connection is closed if it cannot be written."""
         self._counters.add("requests_" + answer.status.value)
-        waiting = self._waiting.pop(answer.request, None)
+        waiting = self._waiting.pop(answer.request_id, None)
         if waiting is None:
             return
         served = response if answer.status is FinalStatus.SERVED else None
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -161,7 +161,7 @@
         self.deliver(now, TimerFired(token), effects)
 
     def _answer(self, answer: FinalAnswer, effects: Effects) -> None:
-        request = self._requests.get(answer.request)
+        request = self._requests.get(answer.request_id)
         if request is not None and not request.answered:
             self._requests.answer(request, answer, effects)
             self._requests.close_if_done(request)
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -141,7 +141,7 @@
         While its connection was opened the upstream may have begun to drain, the request may have been
         answered, or the window may have closed in which a keyed request may be retried.
         """
-        request = self._requests.get(attempt.request)
+        request = self._requests.get(attempt.request_id)
         if request is None or request.answered or self.address(attempt.upstream) is None:
             return False
         opened = request.attempts[attempt.number]
@@ -155,7 +155,7 @@
     ) -> Effects:
         """Take the outcome of an attempt; one that has an outcome already is ignored."""
         effects = Effects()
-        request = self._requests.get(attempt.request)
+        request = self._requests.get(attempt.request_id)
         if request is not None and request.open_attempt(attempt.number) is not None:
             report = LoadReport(**load) if load else None
             self._driver.end_attempt(now, request, attempt.number, outcome, effects, report)
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -25,18 +25,18 @@
     budget: float
     tenant: str = ""
     key: str = ""
-    hint: float = 0.0
+    hint: float = 0.0  # estimate of its work in seconds of a standard core; 0: none
     repeat: bool = False
     write: bool = False
-    waited: float = 0.0  # s of its client's time that had gone by behind others on its connection
-    long: bool = False  # its body still comes: its time starts with ``request_body_received``
+    waited: float = 0.0  # seconds of its client's time spent behind other requests of the connection
+    long: bool = False  # its body is streamed: its time starts with ``request_body_received``
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt at a request on one upstream, to be given up at clock time ``until``."""
+    """One attempt at a request on one upstream, which times out at clock time ``until``."""
 
-    request: str
+    request_id: str
     number: int
     upstream: str
     until: float
@@ -44,9 +44,9 @@
 
 @dataclass(slots=True)
 class FinalAnswer:
-    """The final answer to a request; where it was served, ``attempt`` is the one that did it."""
+    """The final answer to a request; ``attempt`` is the number of the one that served it, else -1."""
 
-    request: str
+    request_id: str
     status: FinalStatus
     retry_after_s: float = 0.0
     attempt: int = -1
@@ -54,14 +54,15 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What the network has to do now."""
+    """What the process has to do now."""
 
     attempts: list[Attempt] = field(default_factory=list)
     answers: list[FinalAnswer] = field(default_factory=list)
-    cancelled: list[tuple[str, int]] = field(default_factory=list)  # attempts whose connection is to close
+    # Attempts whose connection is to close, by request id and number.
+    cancelled: list[tuple[str, int]] = field(default_factory=list)
     health_checks: list[str] = field(default_factory=list)
     close_idle: list[str] = field(default_factory=list)
-    warm: list[str] = field(default_factory=list)  # upstreams that are new: attempts on them will come
+    warm: list[str] = field(default_factory=list)  # new upstreams, to open connections to
     notes: list[str] = field(default_factory=list)
     watch: bool = False
     fetch: bool = False
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -261,7 +261,7 @@
         slow = {"s-0": 0.3, "s-1": 0.02, "s-2": 0.05}[attempt.upstream]
         outcome = AttemptOutcome.ERROR if attempt.upstream == "s-2" and number > 150 else AttemptOutcome.OK
         coordinator.report(now + slow, attempt, outcome, {"rate": 10.0, "utilisation": slow * 2})
-        coordinator.client_disconnected(now + slow, attempt.request)
+        coordinator.client_disconnected(now + slow, attempt.request_id)
 
 
 def test_next_process_starts_from_what_was_learnt() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -98,7 +98,7 @@
         for attempt in effects.attempts:
             self.begin(me, attempt)
         for answer in effects.answers:
-            self.answers.setdefault(answer.request, []).append((self.now, answer.status))
+            self.answers.setdefault(answer.request_id, []).append((self.now, answer.status))
         due = self.coordinators[me].next_deadline()
         if due < self._wound[me]:
             self._wound[me] = due
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -151,6 +151,3 @@
     got = asyncio.run(play())
     assert [int(part[:3]) for part in got.split(b"HTTP/1.1 ")[1:]] == codes
     assert got.count(b"Retry-After: 0.250") == codes.count(503)
-
-
-LateDesk = OverloadedHandler  # the name that test_pipelining imports
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -26,7 +26,7 @@
 from indigokeel.requests.effects import FinalStatus, Request
 from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_answer, request, running, until
 from tests.test_endings import HEALTH, Held
-from tests.test_net import LateDesk
+from tests.test_net import OverloadedHandler
 
 LONG = b"z" * 150_000
 PAY, LAST = request("pay", b"one"), request("pay", b"last")
@@ -209,7 +209,7 @@
 # --- in this process --------------------------------------------------------------------------------------
 
 
-class Handler(LateDesk):
+class Handler(OverloadedHandler):
     """A sidecar that answers with the body, each time after ``take`` has returned if it is ``slow``."""
 
     overloaded = False
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -42,8 +42,8 @@
             client.send_attempt(attempt, outbound, lambda attempt, response: None)
             for _ in range(steps):
                 await asyncio.sleep(0)
-            coordinator.client_disconnected(now, attempt.request)
-            client.cancel_attempt(attempt.request, attempt.number)
+            coordinator.client_disconnected(now, attempt.request_id)
+            client.cancel_attempt(attempt.request_id, attempt.number)
         await asyncio.sleep(0.01)
         client.close_idle("s-0")
         await asyncio.sleep(0.01)
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -125,7 +125,9 @@
         self.done.clear()
         self.written.clear()
         attempt = self.open_attempt(kind)
-        outbound = OutboundRequest(b"POST", b"/view/k", b"1", None, [], True, left=self.has_client_left)
+        outbound = OutboundRequest(
+            b"POST", b"/view/k", b"1", None, [], True, has_client_left=self.has_client_left
+        )
         if kind == "upload":
             outbound.request_stream = RequestStream(ConnectedSource(), 4, [b"body"])
             outbound.request_stream.is_complete = True
--- a/tests/unit/requests/test_coordinator.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -190,7 +190,7 @@
     answers = []
     while coordinator.next_deadline() < 122.0:
         answers += coordinator.tick(coordinator.next_deadline()).answers
-    assert [answer.request for answer in answers] == ["last"]
+    assert [answer.request_id for answer in answers] == ["last"]
 
 
 def test_update_for_many_waiting_requests_reaches_the_balancer_completely() -> None:
@@ -237,7 +237,7 @@
 
     coordinator._timers.schedule(101.0, fail)
     effects = coordinator.tick(102.0)
-    assert [answer.request for answer in effects.answers] == ["before", "after"]
+    assert [answer.request_id for answer in effects.answers] == ["before", "after"]
     assert coordinator.faults == 1 and any("unforeseen" in note for note in effects.notes)
 
 
