--- a/benchmarks/pick.py
+++ b/benchmarks/pick.py
@@ -13,7 +13,7 @@
 import time
 from random import Random
 
-from indigokeel.balancing import balancer as balancer_module
+from indigokeel.balancing import subsetting
 from indigokeel.balancing.actions import SendAttempt, SetTimer
 from indigokeel.balancing.balancer import Balancer
 from indigokeel.balancing.events import (
@@ -107,7 +107,7 @@
             rows: dict[str, list[dict[str, float]]] = {"index": [], "whole": []}
             for seed in range(1, seeds + 1):
                 for kind, found in rows.items():
-                    balancer_module.WHEEL_FROM = 16 if kind == "index" else 10**9
+                    subsetting.MAX_SCANNED_UPSTREAMS = 16 if kind == "index" else 10**9
                     found.append(play(upstreams, rate, int(rate * seconds), seed))
             differences = [
                 a["imbalance"] - b["imbalance"] for a, b in zip(rows["index"], rows["whole"], strict=True)
--- /dev/null
+++ b/indigokeel/balancing/attempt_dispatcher.py
@@ -0,0 +1,99 @@
+"""What happens next to a request: an attempt, a wait for an upstream, or its final answer."""
+
+from __future__ import annotations
+
+from indigokeel.balancing import retry_policy
+from indigokeel.balancing.attempt_sender import AttemptSender
+from indigokeel.balancing.events import AttemptOutcome
+from indigokeel.balancing.open_requests import OpenRequests
+from indigokeel.balancing.request_state import AttemptState, RequestState
+from indigokeel.balancing.retry_policy import RULE_MARGIN_S, RetryBudget
+from indigokeel.balancing.settings import Settings
+from indigokeel.balancing.upstream_registry import UpstreamRegistry
+from indigokeel.balancing.upstream_selection import UpstreamSelector
+
+RETRY_PRICE = 1.0
+
+
+class AttemptDispatcher:
+    """Dispatches first attempts, retries and hedged attempts."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        registry: UpstreamRegistry,
+        requests: OpenRequests,
+        selector: UpstreamSelector,
+        sender: AttemptSender,
+        budget: RetryBudget,
+    ) -> None:
+        self._registry = registry
+        self._requests = requests
+        self._selector = selector
+        self._sender = sender
+        self._budget = budget
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Use these settings from now on."""
+        self._hedges = settings.limits.hedging
+
+    def dispatch(self, now: float, request: RequestState) -> None:
+        """Send a request without open attempts; where that is impossible, have it wait or answer it."""
+        if not retry_policy.may_repeat(now, request):
+            self._requests.answer_unserved(request)
+            return
+        upstream = self._selector.select(now, request)
+        if upstream is not None:
+            self._requests.stop_waiting(request)
+            self._sender.send(now, request, upstream, self._hedge)
+        elif self._can_wait(now, request):
+            self._requests.wait(now, request)
+        else:
+            self._requests.answer_unserved(request)
+
+    def dispatch_waiting(self, now: float) -> None:
+        """Dispatch the requests that wait for an upstream."""
+        for request in self._requests.waiting():
+            self.dispatch(now, request)
+
+    def retry(self, now: float, request: RequestState, outcome: AttemptOutcome) -> None:
+        """Retry a request whose last open attempt failed, if budget and rules allow it, or answer it.
+
+        An attempt that did not reach its upstream costs nothing: the endpoint list may be out of date.
+        """
+        not_reached = outcome in (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
+        price = 0.0 if not_reached else RETRY_PRICE
+        if (
+            request.response_started
+            or not self._budget.can_retry(price)
+            or not retry_policy.is_worth_trying(now, request)
+        ):
+            self._requests.answer_unserved(request)
+            return
+        self._budget.spend_retry(price)
+        self.dispatch(now, request)
+
+    def _can_wait(self, now: float, request: RequestState) -> bool:
+        """Return whether a change of the endpoint list may bring an upstream in time.
+
+        A new request that all serving upstreams are too busy for is answered at once.
+        """
+        if request.deadline - now < RULE_MARGIN_S:
+            return False
+        return bool(request.attempts) or not self._registry.serving_count()
+
+    def _hedge(self, now: float, request: RequestState, attempt: AttemptState) -> None:
+        """Mark an open attempt as overdue, and send a hedged one where that is allowed."""
+        if not attempt.open or request.response_started:
+            return
+        attempt.overdue = True
+        attempt.upstream.add_overdue_attempts(1)
+        if request.done or not self._hedges or not self._budget.can_hedge():
+            return
+        if not retry_policy.is_worth_trying(now, request):
+            return
+        upstream = self._selector.select(now, request)
+        if upstream is not None and all(a.upstream is not upstream for a in request.attempts):
+            self._budget.spend_hedge()
+            self._sender.send(now, request, upstream, self._hedge).hedged = True
--- /dev/null
+++ b/indigokeel/balancing/attempt_results.py
@@ -0,0 +1,72 @@
+"""What the balancer learns from the outcome of an attempt."""
+
+from __future__ import annotations
+
+from indigokeel.balancing.events import AttemptEnded, AttemptOutcome
+from indigokeel.balancing.outlier_ejection import OutlierEjection
+from indigokeel.balancing.request_state import AttemptState, RequestState
+from indigokeel.balancing.retry_policy import RetryBudget
+from indigokeel.balancing.traffic_statistics import TrafficStatistics
+
+FAILURE_LATENCY_RATIO = 3.0  # of the expected latency, that a failure counts as
+HANG_LATENCY_RATIO = 5.0  # of the expected latency; a longer timeout counts as two failures
+
+
+class AttemptResults:
+    """Records outcomes in the statistics of upstreams, classes and traffic."""
+
+    def __init__(self, ejection: OutlierEjection, traffic: TrafficStatistics, budget: RetryBudget) -> None:
+        self._ejection = ejection
+        self._traffic = traffic
+        self._budget = budget
+
+    def record(self, now: float, request: RequestState, attempt: AttemptState, event: AttemptEnded) -> None:
+        """Record the outcome of an attempt."""
+        outcome = event.outcome
+        if outcome is AttemptOutcome.OK:
+            self._record_success(now, request, attempt, event)
+        elif outcome is AttemptOutcome.CANCELLED:
+            # Its latency would have been at least this.
+            _record_long_latency(now, attempt, event.elapsed)
+        elif outcome is AttemptOutcome.TIMED_OUT:
+            self._record_timeout(now, attempt, event.elapsed)
+        elif outcome is not AttemptOutcome.NOT_SENT:
+            self._record_failure(now, attempt, outcome)
+
+    def _record_success(
+        self, now: float, request: RequestState, attempt: AttemptState, event: AttemptEnded
+    ) -> None:
+        self._traffic.record_answer()
+        if event.final and now <= request.objective_at:
+            self._traffic.record_timely(now)
+            self._budget.credit(attempt.hedged)
+        self._ejection.record_success(now, attempt.upstream)
+        attempt.upstream.record_latency(now, event.elapsed / attempt.expected_s)
+        request.class_statistics.record_answer(event.elapsed, request.hint_s)
+
+    def _record_timeout(self, now: float, attempt: AttemptState, elapsed_s: float) -> None:
+        upstream = attempt.upstream
+        self._traffic.record_late(now)
+        self._ejection.record_common_failures()
+        if elapsed_s < attempt.expected_s:
+            return  # the client's budget was too short to show anything
+        upstream.record_latency(now, elapsed_s / attempt.expected_s)
+        # One that has served others since was overloaded, not hanging; ejecting it would turn its work on
+        # the others.
+        if upstream.last_success_at < attempt.sent_at:
+            weight = 2 if elapsed_s > HANG_LATENCY_RATIO * attempt.expected_s else 1
+            self._ejection.record_failure(now, upstream, weight, silent=True)
+
+    def _record_failure(self, now: float, attempt: AttemptState, outcome: AttemptOutcome) -> None:
+        upstream = attempt.upstream
+        upstream.record_latency(now, FAILURE_LATENCY_RATIO)
+        if outcome is AttemptOutcome.REJECTED:
+            self._ejection.record_common_failures()
+        else:
+            upstream.uncounted_errors += 1
+        self._ejection.record_failure(now, upstream)
+
+
+def _record_long_latency(now: float, attempt: AttemptState, elapsed_s: float) -> None:
+    if elapsed_s > attempt.expected_s:
+        attempt.upstream.record_latency(now, elapsed_s / attempt.expected_s)
--- a/indigokeel/balancing/fast_enum.py
+++ b/indigokeel/balancing/fast_enum.py
@@ -6,7 +6,6 @@
 
 
 class FastHashEnum(Enum):
-    """An Enum with the identity hash, which is implemented in C: members are dictionary keys on the request
-    path."""
+    """An Enum with the identity hash, implemented in C: members are dictionary keys on the request path."""
 
     __hash__ = object.__hash__
--- a/indigokeel/balancing/selection_index.py
+++ b/indigokeel/balancing/selection_index.py
@@ -1,8 +1,9 @@
-"""An index over a large pool of entries (upstreams): lists and sums that a spin needs. It decides nothing.
+"""An index over many upstreams: lists to sample from, with the sums that a weighted choice needs.
 
-Each member stands on one of two sides, survivor or struck out, with what was last seen of it. The sums of a
-side are kept as members come, change and go, in whole parts of 2**-32, so that they are exact and no error
-adds up. A member is looked at again on news of it, when its oldest report falls due, or when it is drawn.
+Each member is in one of two partitions, available or busy. The sums of a partition are kept in whole
+multiples of 2**-32 as members come, change and go, so they are exact and no rounding error accumulates. A
+member's weight is computed anew when it was marked as changed, when its oldest load report expires, or on
+request.
 """
 
 from __future__ import annotations
@@ -10,161 +11,168 @@
 import heapq
 from collections.abc import Callable, Iterable
 from itertools import count
-from typing import Any, Generic, Protocol, TypeVar
 
-from indigokeel.balancing.statistics import SlidingWindow
+from indigokeel.balancing.upstream_state import UpstreamState
 
-_UNIT = float(1 << 32)
+_FIXED_POINT_UNIT = float(1 << 32)
 
 
-class Entry(Protocol):
-    """What can stand in the index."""
+class Partition:
+    """The members of one partition, in a list that can be sampled, and their sums."""
 
-    rate: float  # -1: it has not reported
-    utilisation: float
-    size: float
-    ramp: float
-    view: float
-    open: int  # own attempts out
-    fresh_until: float  # clock time; until then the figures above hold
-    reports: SlidingWindow
-    index: SelectionIndex[Any] | None  # the index it stands in
-
-
-E = TypeVar("E", bound=Entry)
-
-
-class Side(Generic[E]):
-    """The members on one side, in a list from which one can be drawn, and their sums."""
-
-    __slots__ = ("_known", "_rates", "_views", "known", "members", "open", "warm")
+    __slots__ = ("_rate_sum", "_weight_sum", "members", "open_attempts", "reporting_count", "warm_count")
 
     def __init__(self) -> None:
-        self.members: list[E] = []
-        self._rates = self._views = 0
-        self.known = 0  # members with reports
+        self.members: list[UpstreamState] = []
+        self._rate_sum = 0
+        self._weight_sum = 0
+        self.reporting_count = 0  # members with load reports
+        self.warm_count = 0
+        self.open_attempts = 0
+
+    def mean_rate(self) -> float:
+        """Return the mean rate by relative capacity of the reporting members, or 0.0 without any."""
+        return self._rate_sum / _FIXED_POINT_UNIT / self.reporting_count if self.reporting_count else 0.0
+
+    def weight_sum(self) -> float:
+        """Return the sum of the members' weights."""
+        return self._weight_sum / _FIXED_POINT_UNIT
+
+    def add(self, term: _Contribution, sign: int) -> None:
+        """Add (1) or subtract (-1) the contribution of one member to the sums."""
+        self._rate_sum += sign * term.rate
+        self._weight_sum += sign * term.weight
+        self.reporting_count += sign * term.reporting
+        self.warm_count += sign * term.warm
+        self.open_attempts += sign * term.open_attempts
+
+
+class _Contribution:
+    """What a member adds to the sums of its partition, and its position there."""
+
+    __slots__ = ("open_attempts", "partition", "position", "rate", "reporting", "warm", "weight")
+
+    def __init__(self, partition: Partition) -> None:
+        self.partition = partition
+        self.position = -1
+        self.rate = 0
+        self.weight = 0
+        self.reporting = 0
         self.warm = 0
-        self.open = 0  # own attempts out
-
-    def rate(self) -> float:
-        """The mean rate by size of those with reports; 0 where there is none."""
-        return self._rates / _UNIT / self.known if self.known else 0.0
-
-    def views(self) -> float:
-        return self._views / _UNIT
-
-    def count(self, seen: _Seen[E], sign: int) -> None:
-        self._rates += sign * seen.rate
-        self._views += sign * seen.view
-        self.known += sign * seen.known
-        self.warm += sign * seen.warm
-        self.open += sign * seen.open
+        self.open_attempts = 0
 
-
-class _Seen(Generic[E]):
-    """What a member adds to the sums of its side, and where in its list it stands."""
-
-    __slots__ = ("known", "open", "place", "rate", "side", "view", "warm")
-
-    def __init__(self, side: Side[E]) -> None:
-        self.side, self.place = side, -1
-        self.rate = self.view = self.known = self.warm = self.open = 0
-
-    def take(self, upstream: Entry) -> None:
-        self.known = int(upstream.rate >= 0.0)
-        self.rate = int(upstream.rate / upstream.size * _UNIT) if self.known else 0
-        self.view = int(upstream.view * _UNIT)
-        self.warm = int(upstream.ramp >= 1.0)
-        self.open = upstream.open
-
-
-class SelectionIndex(Generic[E]):
-    """A pool of entries, ready to be drawn from."""
-
-    def __init__(self, look: Callable[[float, E], None], busy: float) -> None:
-        """``look`` brings what is known of an upstream up to date; over ``busy`` it is struck out."""
-        self._look, self._busy = look, busy
-        self._seen: dict[E, _Seen[E]] = {}
-        self._due: list[tuple[float, int, E]] = []  # when a report falls out of a member's window
-        self._queued: set[E] = set()
+    def copy_from(self, upstream: UpstreamState) -> None:
+        self.reporting = int(upstream.rate >= 0.0)
+        if self.reporting:
+            self.rate = int(upstream.rate / upstream.relative_capacity * _FIXED_POINT_UNIT)
+        else:
+            self.rate = 0
+        self.weight = int(upstream.weight * _FIXED_POINT_UNIT)
+        self.warm = int(upstream.warm_up_weight >= 1.0)
+        self.open_attempts = upstream.open_attempts
+
+
+class SelectionIndex:
+    """A set of upstreams, prepared for weighted sampling."""
+
+    def __init__(
+        self, update_weight: Callable[[float, UpstreamState], None], busy_utilisation: float
+    ) -> None:
+        """``update_weight`` brings the figures of an upstream up to date; over ``busy_utilisation`` it is
+        busy."""
+        self._update_weight = update_weight
+        self._busy_utilisation = busy_utilisation
+        self._contributions: dict[UpstreamState, _Contribution] = {}
+        self._expiries: list[tuple[float, int, UpstreamState]] = []  # a heap of next report expiries
+        self._in_expiries: set[UpstreamState] = set()
         self._serial = count()
-        self.survivors, self.struck = Side[E](), Side[E]()
-        self.news: dict[E, None] = {}  # members that there is news of
-        self.most = 0.0  # no member's view is over this
+        self._changed: dict[UpstreamState, None] = {}
+        self.available = Partition()
+        self.busy = Partition()
+        self.max_weight = 0.0  # an upper bound of the members' weights
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._contributions)
 
-    def fill(self, now: float, members: Iterable[E]) -> None:
-        """Make the pool consist of these."""
+    def replace(self, now: float, members: Iterable[UpstreamState]) -> None:
+        """Make the index consist of these members."""
         wanted = dict.fromkeys(members)
-        for upstream in [u for u in self._seen if u not in wanted]:
-            seen = self._seen.pop(upstream)
-            upstream.index = None
-            self._leave(upstream, seen)
-            self.news.pop(upstream, None)
+        for upstream in [u for u in self._contributions if u not in wanted]:
+            contribution = self._contributions.pop(upstream)
+            upstream.listener = None
+            self._remove(upstream, contribution)
+            self._changed.pop(upstream, None)
         for upstream in wanted:
-            if upstream not in self._seen:
-                upstream.index = self
-                if now >= upstream.fresh_until:
-                    self._look(now, upstream)
-                seen = self._seen[upstream] = _Seen(self._side(upstream))
-                self._join(now, upstream, seen)
-        self.most = max((u.view for u in self._seen), default=0.0)
+            if upstream not in self._contributions:
+                upstream.listener = self
+                if now >= upstream.weight_valid_until:
+                    self._update_weight(now, upstream)
+                contribution = _Contribution(self._partition_of(upstream))
+                self._contributions[upstream] = contribution
+                self._insert(upstream, contribution)
+        self.max_weight = max((u.weight for u in self._contributions), default=0.0)
 
     def refresh(self, now: float) -> None:
-        """Look again at those that there is news of, and those whose time is due."""
-        while self.news:
-            self.look(now, self.news.popitem()[0])
-        while self._due and self._due[0][0] <= now:
-            upstream = heapq.heappop(self._due)[2]
-            self._queued.discard(upstream)
-            if upstream.index is self:
-                self.look(now, upstream)
-
-    def look(self, now: float, upstream: E) -> bool:
-        """Look at a member now; whether it is a survivor."""
-        self._look(now, upstream)
-        seen = self._seen[upstream]
-        side = self._side(upstream)
-        if side is seen.side:
-            side.count(seen, -1)
-            seen.take(upstream)
-            side.count(seen, 1)
-            self._queue(upstream)
+        """Update the members that changed and those with an expired report."""
+        while self._changed:
+            self.update(now, self._changed.popitem()[0])
+        while self._expiries and self._expiries[0][0] <= now:
+            upstream = heapq.heappop(self._expiries)[2]
+            self._in_expiries.discard(upstream)
+            if upstream.listener is self:
+                self.update(now, upstream)
+
+    def update(self, now: float, upstream: UpstreamState) -> None:
+        """Compute the weight of a member anew and move it to the partition it belongs to."""
+        self._update_weight(now, upstream)
+        contribution = self._contributions[upstream]
+        partition = self._partition_of(upstream)
+        if partition is contribution.partition:
+            partition.add(contribution, -1)
+            contribution.copy_from(upstream)
+            partition.add(contribution, 1)
+            self._schedule_expiry(upstream)
         else:
-            self._leave(upstream, seen)
-            seen.side = side
-            self._join(now, upstream, seen)
-        if upstream.view > self.most:
-            self.most = upstream.view
-        return side is self.survivors
-
-    def opened(self, upstream: E, change: int) -> None:
-        """An attempt on a member began or ended."""
-        seen = self._seen[upstream]
-        seen.open += change
-        seen.side.open += change
-
-    def _side(self, upstream: E) -> Side[E]:
-        return self.survivors if upstream.utilisation <= self._busy else self.struck
-
-    def _join(self, now: float, upstream: E, seen: _Seen[E]) -> None:
-        seen.take(upstream)
-        seen.place = len(seen.side.members)
-        seen.side.members.append(upstream)
-        seen.side.count(seen, 1)
-        self._queue(upstream)
-
-    def _leave(self, upstream: E, seen: _Seen[E]) -> None:
-        members = seen.side.members
+            self._remove(upstream, contribution)
+            contribution.partition = partition
+            self._insert(upstream, contribution)
+        if upstream.weight > self.max_weight:
+            self.max_weight = upstream.weight
+
+    def is_available(self, upstream: UpstreamState) -> bool:
+        """Return whether a member was available when it was last updated."""
+        return self._contributions[upstream].partition is self.available
+
+    def mark_changed(self, upstream: UpstreamState) -> None:
+        """Have a member updated with the next refresh."""
+        self._changed[upstream] = None
+
+    def add_open_attempts(self, upstream: UpstreamState, change: int) -> None:
+        """Count attempts on a member that began or ended."""
+        contribution = self._contributions[upstream]
+        contribution.open_attempts += change
+        contribution.partition.open_attempts += change
+
+    def _partition_of(self, upstream: UpstreamState) -> Partition:
+        return self.available if upstream.utilisation <= self._busy_utilisation else self.busy
+
+    def _insert(self, upstream: UpstreamState, contribution: _Contribution) -> None:
+        contribution.copy_from(upstream)
+        contribution.position = len(contribution.partition.members)
+        contribution.partition.members.append(upstream)
+        contribution.partition.add(contribution, 1)
+        self._schedule_expiry(upstream)
+
+    def _remove(self, upstream: UpstreamState, contribution: _Contribution) -> None:
+        members = contribution.partition.members
         last = members.pop()
         if last is not upstream:
-            members[seen.place] = last
-            self._seen[last].place = seen.place
-        seen.side.count(seen, -1)
-
-    def _queue(self, upstream: E) -> None:
-        if upstream not in self._queued and upstream.reports:
-            self._queued.add(upstream)
-            heapq.heappush(self._due, (upstream.reports.due(), next(self._serial), upstream))
+            members[contribution.position] = last
+            self._contributions[last].position = contribution.position
+        contribution.partition.add(contribution, -1)
+
+    def _schedule_expiry(self, upstream: UpstreamState) -> None:
+        if upstream not in self._in_expiries and upstream.reports:
+            self._in_expiries.add(upstream)
+            entry = (upstream.reports.next_expiry(), next(self._serial), upstream)
+            heapq.heappush(self._expiries, entry)
--- a/indigokeel/balancing/statistics.py
+++ b/indigokeel/balancing/statistics.py
@@ -1,165 +1,154 @@
-"""Sums, means and hashes that the decisions rest on. Nothing is decided here.
-
-Decaying sums, means drawn to a parent's, exact sums over a window of time, and hashes that are the same in
-every process.
-"""
+"""Running statistics: decaying sums, shrunken means, key frequencies and exact sums over a time window."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
-from hashlib import blake2b
-
-CAPACITY_PRIOR = 2.0  # reports that the belief "like others of its kind and cell" is worth
-
-MASK = (1 << 64) - 1
-
-
-def hash64(text: str) -> int:
-    """A hash that is the same in every process, unlike the built-in one."""
-    return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
-
 
-def mix(a: int, b: int) -> int:
-    """Mix two 64-bit numbers into one that looks random (the finaliser of splitmix64)."""
-    h = ((a ^ b) * 0x9E3779B97F4A7C15) & MASK
-    h = ((h ^ (h >> 30)) * 0xBF58476D1CE4E5B9) & MASK
-    h = ((h ^ (h >> 27)) * 0x94D049BB133111EB) & MASK
-    return h ^ (h >> 31)
+PRIOR_SAMPLES = 2.0  # samples that the parent's mean counts for
+FREQUENCY_PRIOR = 10.0  # observations of other keys assumed before any was counted
 
-
-def trim_max_min(amounts: list[float], weights: list[float], excess: float) -> list[float]:
-    """What is left of the amounts once ``excess`` in all is cut off: the largest for their weight first, down
-    to one level (max-min fair by weight). What has no weight goes first."""
-    kept = list(amounts)
-    order = sorted(range(len(kept)), key=lambda i: kept[i] / weights[i] if weights[i] > 0.0 else math.inf)
-    room = sum(kept) - excess  # what is left in all
-    weight = sum(weights)
-    for i in order:
-        share = max(room, 0.0) * weights[i] / weight if weight > 0.0 else 0.0
-        kept[i] = min(kept[i], share)
-        room -= kept[i]
-        weight -= weights[i]
-    return kept
+_FIXED_POINT_UNIT = float(1 << 40)
 
 
 class DecayingSum:
-    """A sum whose terms lose their weight over ``tau`` seconds."""
+    """A sum whose terms lose their weight exponentially."""
 
-    __slots__ = ("_at", "_sum", "tau")
+    __slots__ = ("_sum", "_updated_at", "time_constant_s")
 
-    def __init__(self, tau: float) -> None:
-        self.tau, self._sum, self._at = tau, 0.0, 0.0
+    def __init__(self, time_constant_s: float) -> None:
+        self.time_constant_s = time_constant_s
+        self._sum = 0.0
+        self._updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        self._sum = self._sum * math.exp((self._at - now) / self.tau) + amount if self._sum else amount
-        self._at = now
+        """Add a term at clock time ``now``."""
+        if self._sum:
+            self._sum = self._sum * math.exp((self._updated_at - now) / self.time_constant_s) + amount
+        else:
+            self._sum = amount
+        self._updated_at = now
 
-    def state(self) -> tuple[float, float]:
-        """The sum, and the time it was true at."""
-        return self._sum, self._at
+    def value(self, now: float) -> float:
+        """Return the sum at clock time ``now``."""
+        return self._sum * math.exp((self._updated_at - now) / self.time_constant_s) if self._sum else 0.0
 
-    def set(self, total: float, at: float) -> None:
-        self._sum, self._at = total, at
+    def state(self) -> tuple[float, float]:
+        """Return the sum and the clock time it is valid at."""
+        return self._sum, self._updated_at
 
-    def value(self, now: float) -> float:
-        return self._sum * math.exp((self._at - now) / self.tau) if self._sum else 0.0
+    def restore(self, total: float, at: float) -> None:
+        """Replace the sum by one that is valid at clock time ``at``."""
+        self._sum = total
+        self._updated_at = at
 
 
 class ShrinkageEstimate:
-    """A running mean that is drawn to its parent's while it rests on little."""
+    """A running mean that is drawn to its parent's while it rests on few samples."""
 
-    __slots__ = ("__weakref__", "_count", "_mean", "_parent", "_slowest")
+    __slots__ = ("__weakref__", "_count", "_mean", "_min_step", "_parent")
 
-    def __init__(self, parent: ShrinkageEstimate | None, slowest: float) -> None:
-        self._parent, self._slowest = parent, slowest
-        self._count, self._mean = 0.0, 0.0
+    def __init__(self, parent: ShrinkageEstimate | None, min_step: float) -> None:
+        """``min_step`` is the least weight of a new sample; older ones are forgotten at that rate."""
+        self._parent = parent
+        self._min_step = min_step
+        self._count = 0.0
+        self._mean = 0.0
 
     def add(self, value: float) -> None:
+        """Add a sample to this estimate and its ancestors."""
         self._count += 1.0
-        self._mean += max(1.0 / self._count, self._slowest) * (value - self._mean)
+        self._mean += max(1.0 / self._count, self._min_step) * (value - self._mean)
         if self._parent is not None:
             self._parent.add(value)
 
-    def state(self) -> tuple[float, float]:
-        """How much it rests on, and its own mean."""
-        return self._count, self._mean
-
-    def set(self, count: float, mean: float) -> None:
-        self._count, self._mean = count, mean
-
     def value(self) -> float:
-        """The estimate; 0 where nothing is known."""
+        """Return the estimate, or 0.0 without any sample."""
         if self._parent is None:
             return self._mean
-        weight = min(self._count, 1.0 / self._slowest)
-        return (weight * self._mean + CAPACITY_PRIOR * self._parent.value()) / (weight + CAPACITY_PRIOR)
+        weight = min(self._count, 1.0 / self._min_step)
+        return (weight * self._mean + PRIOR_SAMPLES * self._parent.value()) / (weight + PRIOR_SAMPLES)
+
+    def state(self) -> tuple[float, float]:
+        """Return the number of samples and their own mean."""
+        return self._count, self._mean
+
+    def restore(self, count: float, mean: float) -> None:
+        """Replace the number of samples and their mean."""
+        self._count = count
+        self._mean = mean
 
 
 class FrequencyCounter:
-    """How often each of many keys came, the rare and old ones forgotten."""
+    """Approximate counts of many keys; rare and old ones are dropped."""
 
-    __slots__ = ("_counts", "_most", "_total")
+    __slots__ = ("_counts", "_max_keys", "_total")
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_keys: int) -> None:
+        self._max_keys = max_keys
         self._counts: dict[int, float] = {}
         self._total = 0.0
 
     def share(self, key: int) -> float:
-        """Count a key; what part of all it was before, drawn to 0 where little is known."""
-        seen = self._counts.get(key, 0.0)
-        share = seen / (self._total + 10.0)
-        self._counts[key] = seen + 1.0
+        """Return the part of all observations that were of this key, from 0 to 1."""
+        return self._counts.get(key, 0.0) / (self._total + FREQUENCY_PRIOR)
+
+    def count(self, key: int) -> None:
+        """Count one observation of a key."""
+        self._counts[key] = self._counts.get(key, 0.0) + 1.0
         self._total += 1.0
-        if len(self._counts) > self._most:
-            self.set({k: n / 2.0 for k, n in self._counts.items() if n >= 2.0})
-        return share
+        if len(self._counts) > self._max_keys:
+            self.restore({k: n / 2.0 for k, n in self._counts.items() if n >= 2.0})
 
     def state(self) -> dict[int, float]:
+        """Return the counts by key."""
         return self._counts
 
-    def set(self, counts: dict[int, float]) -> None:
-        self._counts, self._total = counts, sum(counts.values())
-
-
-_UNIT = float(1 << 40)  # figures are summed in whole parts of this size, so that no error can add up
+    def restore(self, counts: dict[int, float]) -> None:
+        """Replace the counts."""
+        self._counts = counts
+        self._total = sum(counts.values())
 
 
 class SlidingWindow:
-    """The sums of two figures over the last ``span`` seconds, kept as they come and go.
+    """The means of two figures over the last ``span_s`` seconds.
 
-    Exact, without drift: each figure is taken in whole multiples of 2**-40, and sums of whole numbers are
-    exact in any order, so what comes in and goes out again leaves nothing behind."""
+    Each figure is kept in whole multiples of 2**-40: sums of integers are exact in any order, so no rounding
+    error accumulates as samples come and go.
+    """
 
-    __slots__ = ("_first", "_items", "_second", "span")
+    __slots__ = ("_first_sum", "_samples", "_second_sum", "span_s")
 
-    def __init__(self, span: float) -> None:
-        self.span = span
-        self._items: deque[tuple[float, int, int]] = deque()
-        self._first = self._second = 0
+    def __init__(self, span_s: float) -> None:
+        self.span_s = span_s
+        self._samples: deque[tuple[float, int, int]] = deque()
+        self._first_sum = 0
+        self._second_sum = 0
 
     def __len__(self) -> int:
-        return len(self._items)
+        return len(self._samples)
 
     def add(self, now: float, first: float, second: float) -> None:
-        whole_first, whole_second = int(first * _UNIT), int(second * _UNIT)
-        self._items.append((now, whole_first, whole_second))
-        self._first += whole_first
-        self._second += whole_second
+        """Add a sample at clock time ``now``."""
+        fixed_first = int(first * _FIXED_POINT_UNIT)
+        fixed_second = int(second * _FIXED_POINT_UNIT)
+        self._samples.append((now, fixed_first, fixed_second))
+        self._first_sum += fixed_first
+        self._second_sum += fixed_second
 
     def means(self, now: float) -> tuple[float, float] | None:
-        """The two means, once what is older than the span is let go; None where nothing is left."""
-        items, oldest = self._items, now - self.span
-        while items and items[0][0] < oldest:
-            _, first, second = items.popleft()
-            self._first -= first
-            self._second -= second
-        if not items:
+        """Drop expired samples and return the two means, or None without a sample."""
+        samples = self._samples
+        oldest = now - self.span_s
+        while samples and samples[0][0] < oldest:
+            _, first, second = samples.popleft()
+            self._first_sum -= first
+            self._second_sum -= second
+        if not samples:
             return None
-        parts = len(items) * _UNIT
-        return self._first / parts, self._second / parts
+        divisor = len(samples) * _FIXED_POINT_UNIT
+        return self._first_sum / divisor, self._second_sum / divisor
 
-    def due(self) -> float:
-        """When the oldest falls out; infinite where there is none."""
-        return self._items[0][0] + self.span if self._items else math.inf
+    def next_expiry(self) -> float:
+        """Return the clock time at which the oldest sample expires; infinite without a sample."""
+        return self._samples[0][0] + self.span_s if self._samples else math.inf
--- /dev/null
+++ b/indigokeel/balancing/timers.py
@@ -0,0 +1,30 @@
+"""Callbacks that run when the caller reports that a timer fired."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from indigokeel.balancing.action_sink import ActionSink
+from indigokeel.balancing.actions import SetTimer
+
+
+class Timers:
+    """Pending one-shot timers by their token."""
+
+    def __init__(self, sink: ActionSink) -> None:
+        self._sink = sink
+        self._callbacks: dict[int, Callable[[float], None]] = {}
+        self._next_token = 1
+
+    def start(self, delay_s: float, callback: Callable[[float], None]) -> None:
+        """Order a timer; ``callback`` is handed the clock time once it fires."""
+        token = self._next_token
+        self._next_token += 1
+        self._callbacks[token] = callback
+        self._sink.add(SetTimer(max(delay_s, 0.0), token))
+
+    def fire(self, now: float, token: int) -> None:
+        """Run the callback of a timer; an unknown token is ignored."""
+        callback = self._callbacks.pop(token, None)
+        if callback is not None:
+            callback(now)
--- /dev/null
+++ b/indigokeel/balancing/upstream_registry.py
@@ -0,0 +1,105 @@
+"""The upstreams that discovery lists, and the order that subsets are cut from."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from indigokeel.balancing import slow_start
+from indigokeel.balancing.capacity_estimates import CapacityEstimates
+from indigokeel.balancing.events import EndpointState, Member, MembershipUpdate, UpdateKind
+from indigokeel.balancing.hashing import mix64
+from indigokeel.balancing.settings import Settings
+from indigokeel.balancing.upstream_state import UpstreamState
+from indigokeel.balancing.weighted_choice import van_der_corput
+from indigokeel.balancing.zone_ordered_set import ZoneOrderedSet
+
+ORDER_HASH_SEED = 0x5851F42D4C957F2D
+MIN_SUBSET_SIZE = 20  # upstreams that a quiet sidecar uses, so that it has a choice when some are bad
+MIN_SCALE = 1e-6  # of an upstream, as discovery states it
+
+
+class UpstreamRegistry:
+    """All known upstreams, and those that serve, in subset order and by replica group."""
+
+    def __init__(self, settings: Settings, capacities: CapacityEstimates) -> None:
+        self._capacities = capacities
+        self.upstreams: dict[str, UpstreamState] = {}
+        self._serving: ZoneOrderedSet[UpstreamState] = ZoneOrderedSet()
+        self._ordered: list[UpstreamState] | None = None  # None: not built since the last change
+        self._replica_groups: dict[int, list[UpstreamState]] = {}
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Use these settings from now on."""
+        self._settings = settings
+
+    def apply_update(self, now: float, update: MembershipUpdate) -> None:
+        """Apply a change or a whole list; upstreams that a whole list lacks are removed."""
+        if update.kind is not UpdateKind.DELTA:
+            listed = {member.id for member in update.members}
+            for absent in [name for name in self.upstreams if name not in listed]:
+                self._stop_serving(self.upstreams.pop(absent))
+        for member in update.members:
+            self._apply_member(now, member)
+        self._ordered = None
+
+    def serving_count(self) -> int:
+        """Return the number of upstreams that serve."""
+        return len(self._serving)
+
+    def iterate_serving(self) -> Iterator[UpstreamState]:
+        """Iterate over the serving upstreams in subset order.
+
+        The order is the same at every sidecar, and each begins at one of a few positions in it, so that
+        sidecars share the upstreams that a key is routed to.
+        """
+        return self._serving.iterate_from(self._subset_position())
+
+    def all_serving(self) -> list[UpstreamState]:
+        """Return the serving upstreams in subset order; the list is built once after each change."""
+        if self._ordered is None:
+            self._ordered = list(self.iterate_serving())
+            self._replica_groups = {}
+            for upstream in self._ordered:
+                self._replica_groups.setdefault(upstream.member.replica_group, []).append(upstream)
+        return self._ordered
+
+    def serving_in_group(self, replica_group: int) -> list[UpstreamState] | None:
+        """Return the serving upstreams of a replica group, or None if there are none."""
+        self.all_serving()
+        return self._replica_groups.get(replica_group)
+
+    def _apply_member(self, now: float, member: Member) -> None:
+        upstream = self.upstreams.get(member.id)
+        if upstream is not None:
+            self._stop_serving(upstream)
+        if member.state is EndpointState.GONE:
+            self.upstreams.pop(member.id, None)
+            return
+        if upstream is None or upstream.member.started != member.started:
+            # New, or restarted: nothing that was learned holds any more.
+            upstream = UpstreamState(member, self._capacities.of_group(member))
+            self.upstreams[member.id] = upstream
+        upstream.member = member
+        upstream.warm_up_weight = slow_start.warm_up_weight(self._settings.safety, member.started, now)
+        upstream.scale = max(member.scale, MIN_SCALE) if self._settings.scale_is_capacity else 1.0
+        if member.state is EndpointState.SERVING:
+            self._serving.add(member.zone, _rank(upstream), member.id, upstream)
+
+    def _stop_serving(self, upstream: UpstreamState) -> None:
+        self._serving.discard(upstream.member.zone, _rank(upstream), upstream.member.id)
+
+    def _subset_position(self) -> float:
+        """Return where in the order this sidecar's subset begins, from 0 to 1.
+
+        There are as many positions, evenly spaced, as it takes for the smallest subsets to cover all
+        upstreams; a power of two, so that positions stay the same while the fleet changes.
+        """
+        positions = 1
+        while positions * MIN_SUBSET_SIZE < len(self._serving):
+            positions *= 2
+        return van_der_corput(self._settings.instance_index % positions)
+
+
+def _rank(upstream: UpstreamState) -> int:
+    return mix64(upstream.name_hash, ORDER_HASH_SEED)
--- a/indigokeel/balancing/weighted_choice.py
+++ b/indigokeel/balancing/weighted_choice.py
@@ -1,5 +1,4 @@
-"""Choices among weighted entries, by chance or by a key that every process maps alike, and places that lie
-evenly apart. Nothing is decided here."""
+"""Choices among weighted entries, by a random number or by a key that every process maps alike."""
 
 from __future__ import annotations
 
@@ -9,40 +8,51 @@
 from itertools import accumulate
 from typing import Protocol, TypeVar
 
-from indigokeel.balancing.statistics import MASK, mix
+from indigokeel.balancing.hashing import UINT64_MAX, mix64
 
 
-class Salted(Protocol):
-    """What can be chosen by a key."""
+class Hashed(Protocol):
+    """An entry that can be chosen by a key."""
 
     @property
-    def salt(self) -> int:
-        """A hash of its name."""
+    def name_hash(self) -> int:
+        """Return a hash of the entry's name that is the same in every process."""
 
 
-S = TypeVar("S", bound=Salted)
+HashedT = TypeVar("HashedT", bound=Hashed)
 
 
-def by_chance(entries: Sequence[S], weights: Iterable[float], at: float) -> S:
-    """The entry that a roulette wheel stops at; ``at`` tells where, from 0 to 1."""
+def choose_at(entries: Sequence[HashedT], weights: Iterable[float], position: float) -> HashedT:
+    """Return the entry at ``position`` (0 to 1) of the cumulative weights."""
     ends = list(accumulate(weights))
-    return entries[bisect_right(ends, at * ends[-1], 0, len(ends) - 1)]
+    return entries[bisect_right(ends, position * ends[-1], 0, len(ends) - 1)]
 
 
-def by_key(entries: Sequence[S], weights: Iterable[float], key: int) -> S:
-    """Spin the wheel by the key (weighted rendezvous hashing): the odds are those of the weights, and
-    processes with like weights agree on the entry that has met the key."""
-    best, best_score = entries[0], math.inf
+def choose_by_key(entries: Sequence[HashedT], weights: Iterable[float], key: int) -> HashedT:
+    """Return an entry by weighted rendezvous hashing.
+
+    The odds over many keys are those of the weights, and processes with similar weights choose the same entry
+    for a key.
+    """
+    best = entries[0]
+    best_score = math.inf
     for entry, weight in zip(entries, weights, strict=True):
-        score = -math.log((mix(entry.salt, key) + 1) / (MASK + 2)) / weight
+        score = -math.log((mix64(entry.name_hash, key) + 1) / (UINT64_MAX + 2)) / weight
         if score < best_score:
-            best, best_score = entry, score
+            best = entry
+            best_score = score
     return best
 
 
 def van_der_corput(number: int) -> float:
-    """The number's bits mirrored at the point: the first 2**k numbers lie evenly apart between 0 and 1."""
-    place, unit = 0.0, 0.5
+    """Return an element of the base-2 van der Corput sequence.
+
+    The first 2**k elements lie evenly spaced in the interval from 0 to 1.
+    """
+    value = 0.0
+    unit = 0.5
     while number:
-        place, unit, number = place + unit * (number & 1), unit / 2.0, number >> 1
-    return place
+        value += unit * (number & 1)
+        unit /= 2.0
+        number >>= 1
+    return value
--- a/indigokeel/balancing/zone_ordered_set.py
+++ b/indigokeel/balancing/zone_ordered_set.py
@@ -1,4 +1,4 @@
-"""An order over items of several lanes, kept while items come and go, and read from any place in it."""
+"""A set of items in several zones with a stable order that can be read from any position."""
 
 from __future__ import annotations
 
@@ -12,33 +12,38 @@
 
 
 class ZoneOrderedSet(Generic[T]):
-    """Items by lane, each lane sorted by rank and name. A change costs a search and a shift within its lane,
-    not a new layout of the whole, so that many changes of a long list stay cheap."""
+    """Items by zone, each zone sorted by rank and name.
+
+    A change costs a search and a shift within one zone; the whole order is never rebuilt.
+    """
 
     def __init__(self) -> None:
-        self._lanes: dict[str, list[tuple[int, str, T]]] = {}
+        self._zones: dict[str, list[tuple[int, str, T]]] = {}
 
     def __len__(self) -> int:
-        return sum(map(len, self._lanes.values()))
+        return sum(map(len, self._zones.values()))
 
-    def add(self, lane: str, rank: int, name: str, item: T) -> None:
-        """Take in an item; no other of this lane has its rank and name."""
-        insort(self._lanes.setdefault(lane, []), (rank, name, item), key=_rank_and_name)
+    def add(self, zone: str, rank: int, name: str, item: T) -> None:
+        """Add an item; rank and name must be unique within the zone."""
+        insort(self._zones.setdefault(zone, []), (rank, name, item), key=_rank_and_name)
 
-    def discard(self, lane: str, rank: int, name: str) -> None:
-        """Take an item out, where it is in the lane."""
-        items = self._lanes.get(lane, [])
+    def discard(self, zone: str, rank: int, name: str) -> None:
+        """Remove an item if it is in the zone."""
+        items = self._zones.get(zone, [])
         at = bisect_left(items, (rank, name), key=_rank_and_name)
         if at < len(items) and _rank_and_name(items[at]) == (rank, name):
             del items[at]
             if not items:
-                del self._lanes[lane]
+                del self._zones[zone]
+
+    def iterate_from(self, position: float) -> Iterator[T]:
+        """Iterate over all items once, starting at ``position`` (0 to 1) and wrapping around.
 
-    def order(self, begin: float) -> Iterator[T]:
-        """All items from the place ``begin``, a part of the whole, on and round. Each lane has a place for
-        each of its items, evenly spread; at one place the lane goes first whose first item does."""
-        lanes = sorted(self._lanes.values(), key=lambda items: _rank_and_name(items[0]))
-        spread = (_spread(number, items, begin) for number, items in enumerate(lanes))
+        The items of each zone are spread evenly over the interval from 0 to 1. Of items at the same position,
+        that of the zone with the lowest first item comes first.
+        """
+        zones = sorted(self._zones.values(), key=lambda items: _rank_and_name(items[0]))
+        spread = (_spread(number, items, position) for number, items in enumerate(zones))
         return (item for _, _, item in merge(*spread, key=lambda placed: placed[:2]))
 
 
@@ -47,7 +52,7 @@
 
 
 def _spread(number: int, items: list[tuple[int, str, T]], begin: float) -> Iterator[tuple[float, int, T]]:
-    """The items of one lane, each with its place and the lane's number, by place."""
+    """Yield the items of one zone with their distance from ``begin`` and the zone's number, nearest first."""
     first = math.ceil(begin * len(items) - 0.5)
     for rank in range(first, first + len(items)):
         at = rank % len(items)
--- a/indigokeel/hot_restart/learned_state.py
+++ b/indigokeel/hot_restart/learned_state.py
@@ -1,58 +1,277 @@
-"""What a balancer has learnt, as plain values and back, for the next process of the same sidecar.
+"""What a balancer has learned, as plain JSON values and back, for the next process of the same sidecar.
 
-Nothing is decided here. Times are those of the monotonic clock, which both processes share, so that they pass
-as they are. A process of an older version left Unix seconds: what then has to be added to each stands among
-the values, under ``OFFSET``.
+Times are those of the monotonic clock, which both processes share. A process of an older version stored Unix
+seconds; the snapshot then states, under ``OFFSET``, what has to be added to each.
 """
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from typing import Any
 
 from indigokeel.balancing.balancer import Balancer
-from indigokeel.balancing.records import AVERAGED_LEAST
+from indigokeel.balancing.class_statistics import ClassStatistics
+from indigokeel.balancing.statistics import ShrinkageEstimate
+from indigokeel.balancing.upstream_state import MIN_AVERAGED_REPORTS, UpstreamState
 
-_MOST = 300  # upstreams: with more a sidecar uses but a part, and little would be learnt of each
-_MOST_KEYS = 200
-_REPORTS = 2 * AVERAGED_LEAST  # reports that an average is worth when it is handed on
 OFFSET = "clock_offset"  # s
-_JAIL = 60.0  # s of ejection that are believed at the most
+
+MAX_UPSTREAMS = 300  # a larger fleet is used only in part, and little is learned of each upstream
+MAX_KEYS = 200
+MAX_RESTORED_REPORTS = 2 * MIN_AVERAGED_REPORTS
+MAX_EJECTION_S = 60.0  # longer ejections are not believed
+STORED_UPSTREAM_VALUES = 4  # besides the start time
+MAX_START_DIFFERENCE_S = 0.001  # between stored and listed start times of one start
+
+MAX_CLOCK_S = 1e12
+MIN_LATENCY_S = 1e-6
+MAX_LATENCY_S = 3600.0
+MAX_KEY_COUNT = 1e9
+MAX_REPORT_FIGURE = 1e6
+MAX_LATENCY_SUM = 1e6
+MAX_SAMPLES = 1e12
+MAX_LOG_CAPACITY = 50.0
 
 
 class LearnedStateError(ValueError):
-    """Values that nobody can have learnt."""
+    """Stored values that no process can have learned."""
 
 
-def collect(balancer: Balancer, now: float) -> dict[str, Any] | None:
-    """What is known at clock time ``now``; None on a fleet too large for it to pay."""
-    stats, upstreams, capacity, kinds, keys = balancer.learned_figures()
-    if len(upstreams) > _MOST:
-        return None
-    figures = {}
-    for name, upstream in upstreams.items():
+@dataclass(frozen=True, slots=True)
+class ClassRecord:
+    """The usual latency and work estimate of a request class, in seconds."""
+
+    latency_s: float
+    hint_s: float
+
+    @staticmethod
+    def capture(statistics: ClassStatistics) -> ClassRecord:
+        """Return what was learned of a class."""
+        return ClassRecord(statistics.usual_latency_s, statistics.usual_hint_s)
+
+    @staticmethod
+    def decode(latency: Any, hint: Any) -> ClassRecord:
+        """Decode stored values; raises ValueError or TypeError on invalid ones."""
+        return ClassRecord(_figure(latency, MIN_LATENCY_S, MAX_LATENCY_S), _figure(hint, 0.0, MAX_LATENCY_S))
+
+    def encode(self) -> list[float]:
+        """Return the stored form."""
+        return [self.latency_s, self.hint_s]
+
+    def apply(self, statistics: ClassStatistics) -> None:
+        """Restore what was learned of a class."""
+        statistics.usual_latency_s = self.latency_s
+        statistics.usual_hint_s = self.hint_s
+
+
+@dataclass(frozen=True, slots=True)
+class EstimateRecord:
+    """A capacity estimate: the number of samples and their mean."""
+
+    count: float
+    mean: float
+
+    @staticmethod
+    def capture(estimate: ShrinkageEstimate) -> EstimateRecord:
+        """Return the state of an estimate."""
+        return EstimateRecord(*estimate.state())
+
+    @staticmethod
+    def decode(values: Any) -> EstimateRecord:
+        """Decode stored values; raises ValueError or TypeError on invalid ones."""
+        count, mean = values
+        decoded_count = _figure(count, 0.0, MAX_SAMPLES)
+        return EstimateRecord(decoded_count, _figure(mean, -MAX_LOG_CAPACITY, MAX_LOG_CAPACITY))
+
+    def encode(self) -> list[float]:
+        """Return the stored form."""
+        return [self.count, self.mean]
+
+    def apply(self, estimate: ShrinkageEstimate) -> None:
+        """Restore an estimate."""
+        estimate.restore(self.count, self.mean)
+
+
+@dataclass(frozen=True, slots=True)
+class ReportsRecord:
+    """The means of the load reports of an upstream, and their number."""
+
+    rate: float
+    utilisation: float
+    count: int
+
+    @staticmethod
+    def capture(upstream: UpstreamState, now: float) -> ReportsRecord | None:
+        """Return the means at clock time ``now``, or None without a report."""
         means = upstream.reports.means(now)
-        (health, at), (weight, _) = upstream.health_sum.state(), upstream.health_weight.state()
-        figures[name] = [
+        if means is None:
+            return None
+        rate, utilisation = means
+        return ReportsRecord(rate, utilisation, len(upstream.reports))
+
+    @staticmethod
+    def decode(values: Any) -> ReportsRecord:
+        """Decode stored values; raises ValueError or TypeError on invalid ones."""
+        rate, utilisation, count = (_figure(value, 0.0, MAX_REPORT_FIGURE) for value in values)
+        return ReportsRecord(rate, utilisation, int(count))
+
+    def encode(self) -> list[float]:
+        """Return the stored form."""
+        return [self.rate, self.utilisation, self.count]
+
+    def apply(self, upstream: UpstreamState, now: float) -> None:
+        """Restore the reports, as of clock time ``now``."""
+        for _ in range(min(self.count, MAX_RESTORED_REPORTS)):
+            upstream.reports.add(now, self.rate, self.utilisation)
+
+
+@dataclass(frozen=True, slots=True)
+class LatencyRecord:
+    """The decaying sums of the observed latencies of an upstream, valid at one clock time."""
+
+    log_sum: float
+    weight: float
+    at: float
+
+    @staticmethod
+    def capture(upstream: UpstreamState) -> LatencyRecord | None:
+        """Return the sums, or None without an observation."""
+        log_sum, at = upstream.latency_log_sum.state()
+        weight, _ = upstream.latency_weight.state()
+        return LatencyRecord(log_sum, weight, at) if weight else None
+
+    @staticmethod
+    def decode(values: Any, offset: float, now: float) -> LatencyRecord:
+        """Decode stored values; raises ValueError or TypeError on invalid ones."""
+        log_sum, weight, at = values
+        decoded_at = min(_figure(at, 0.0, MAX_CLOCK_S) + offset, now)
+        return LatencyRecord(
+            _figure(log_sum, -MAX_LATENCY_SUM, MAX_LATENCY_SUM),
+            _figure(weight, 0.0, MAX_LATENCY_SUM),
+            decoded_at,
+        )
+
+    def encode(self) -> list[float]:
+        """Return the stored form."""
+        return [self.log_sum, self.weight, self.at]
+
+    def apply(self, upstream: UpstreamState) -> None:
+        """Restore the sums."""
+        upstream.latency_log_sum.restore(self.log_sum, self.at)
+        upstream.latency_weight.restore(self.weight, self.at)
+
+
+@dataclass(frozen=True, slots=True)
+class EjectionRecord:
+    """The ejection of an upstream: its end, and the length of the next one."""
+
+    until: float
+    next_s: float
+
+    @staticmethod
+    def capture(upstream: UpstreamState, now: float) -> EjectionRecord | None:
+        """Return the ejection at clock time ``now``, or None without one."""
+        if upstream.ejected_until <= now:
+            return None
+        return EjectionRecord(upstream.ejected_until, upstream.ejection_time_s)
+
+    @staticmethod
+    def decode(values: Any, offset: float, now: float) -> EjectionRecord:
+        """Decode stored values; raises ValueError or TypeError on invalid ones."""
+        until, next_s = values
+        decoded_until = min(_figure(until, 0.0, MAX_CLOCK_S) + offset, now + MAX_EJECTION_S)
+        return EjectionRecord(decoded_until, _figure(next_s, 0.0, MAX_EJECTION_S))
+
+    def encode(self) -> list[float]:
+        """Return the stored form."""
+        return [self.until, self.next_s]
+
+    def apply(self, upstream: UpstreamState) -> None:
+        """Restore the ejection."""
+        upstream.ejected_until = self.until
+        upstream.ejection_time_s = self.next_s
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamRecord:
+    """All that is stored of one upstream."""
+
+    started: float
+    capacity: EstimateRecord
+    reports: ReportsRecord | None
+    latency: LatencyRecord | None
+    ejection: EjectionRecord | None
+
+    @staticmethod
+    def capture(upstream: UpstreamState, now: float) -> UpstreamRecord:
+        """Return what is known of an upstream at clock time ``now``."""
+        return UpstreamRecord(
             upstream.member.started,
-            upstream.capacity.state(),
-            [*means, len(upstream.reports)] if means else None,
-            [health, weight, at] if weight else None,
-            [upstream.jailed_until, upstream.jail_time] if upstream.jailed_until > now else None,
+            EstimateRecord.capture(upstream.log_capacity),
+            ReportsRecord.capture(upstream, now),
+            LatencyRecord.capture(upstream),
+            EjectionRecord.capture(upstream, now),
+        )
+
+    @staticmethod
+    def decode(started: float, values: list[Any], offset: float, now: float) -> UpstreamRecord:
+        """Decode the values stored after the start time; raises ValueError or TypeError on invalid ones."""
+        capacity, reports, latency, ejection = values
+        return UpstreamRecord(
+            started,
+            EstimateRecord.decode(capacity),
+            None if reports is None else ReportsRecord.decode(reports),
+            None if latency is None else LatencyRecord.decode(latency, offset, now),
+            None if ejection is None else EjectionRecord.decode(ejection, offset, now),
+        )
+
+    def encode(self) -> list[Any]:
+        """Return the stored form."""
+        return [
+            self.started,
+            self.capacity.encode(),
+            self.reports and self.reports.encode(),
+            self.latency and self.latency.encode(),
+            self.ejection and self.ejection.encode(),
         ]
-    common = sorted(keys.state().items(), key=lambda item: -item[1])[:_MOST_KEYS]
+
+    def apply(self, upstream: UpstreamState, now: float) -> None:
+        """Restore what was known of an upstream."""
+        self.capacity.apply(upstream.log_capacity)
+        if self.reports is not None:
+            self.reports.apply(upstream, now)
+        if self.latency is not None:
+            self.latency.apply(upstream)
+        if self.ejection is not None:
+            self.ejection.apply(upstream)
+        upstream.invalidate_weight()
+
+
+def collect(balancer: Balancer, now: float) -> dict[str, Any] | None:
+    """Return what is known at clock time ``now``, in its stored form; None on a fleet too large for it."""
+    figures = balancer.learned_figures()
+    if len(figures.upstreams) > MAX_UPSTREAMS:
+        return None
+    frequent_keys = sorted(figures.key_counts.state().items(), key=lambda item: -item[1])[:MAX_KEYS]
     return {
-        "classes": {name: [known.latency, known.hint] for name, known in stats.items()},
-        "capacity": capacity.state(),
-        "kinds": {kind: known.state() for kind, known in kinds.items()},
-        "nodes": figures,
-        "keys": common,
+        "classes": {name: ClassRecord.capture(known).encode() for name, known in figures.classes.items()},
+        "capacity": EstimateRecord.capture(figures.fleet_capacity).encode(),
+        "kinds": {
+            kind: EstimateRecord.capture(known).encode() for kind, known in figures.kind_capacities.items()
+        },
+        "nodes": {
+            name: UpstreamRecord.capture(known, now).encode() for name, known in figures.upstreams.items()
+        },
+        "keys": frequent_keys,
     }
 
 
 def restore(balancer: Balancer, now: float, data: Any) -> None:
-    """Teach a balancer, that knows its list and nothing else, what another one collected. Raises LearnedError
-    on values that make no sense; what was taken in before that stays, which is harmless."""
+    """Restore what another process collected, in a balancer that knows only its endpoint list.
+
+    Raises LearnedStateError on invalid values; what was restored before them stays, which is harmless.
+    """
     try:
         _restore(balancer, now, data)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
@@ -60,47 +279,40 @@
 
 
 def _restore(balancer: Balancer, now: float, data: Any) -> None:
-    offset = _figure(data.get(OFFSET, 0.0), -1e12, 1e12)
-    stats, upstreams, capacity, kinds, keys = balancer.learned_figures()
+    offset = _figure(data.get(OFFSET, 0.0), -MAX_CLOCK_S, MAX_CLOCK_S)
+    figures = balancer.learned_figures()
     for name, (latency, hint) in data["classes"].items():
-        if name in stats:
-            stats[name].latency, stats[name].hint = _figure(latency, 1e-6, 3600.0), _figure(hint, 0.0, 3600.0)
-    capacity.set(*_estimate(data["capacity"]))
-    for kind, state in data["kinds"].items():
-        if kind in kinds:
-            kinds[kind].set(*_estimate(state))
-    keys.set({int(key): _figure(count, 0.0, 1e9) for key, count in data["keys"][:_MOST_KEYS]})
-    for name, (started, mean, reports, health, jail) in data["nodes"].items():
-        upstream = upstreams.get(name)
+        if name in figures.classes:
+            ClassRecord.decode(latency, hint).apply(figures.classes[name])
+    EstimateRecord.decode(data["capacity"]).apply(figures.fleet_capacity)
+    for kind, estimate in data["kinds"].items():
+        if kind in figures.kind_capacities:
+            EstimateRecord.decode(estimate).apply(figures.kind_capacities[kind])
+    stored_keys = data["keys"][:MAX_KEYS]
+    figures.key_counts.restore({int(key): _figure(count, 0.0, MAX_KEY_COUNT) for key, count in stored_keys})
+    for name, (stored_start, *values) in data["nodes"].items():
+        _check_length(values)
+        upstream = figures.upstreams.get(name)
         if upstream is None:
             continue
-        before = started and _figure(started, 0.0, 1e12) + offset
-        if abs(before - upstream.member.started) > 0.001:
-            continue  # it has started since: all that was known of it is void
-        upstream.capacity.set(*_estimate(mean))
-        if reports is not None:
-            rate, utilisation, count = (_figure(value, 0.0, 1e6) for value in reports)
-            for _ in range(min(int(count), _REPORTS)):
-                upstream.reports.add(now, rate, utilisation)
-        if health is not None:
-            total, weight, at = health
-            at = min(_figure(at, 0.0, 1e12) + offset, now)
-            upstream.health_sum.set(_figure(total, -1e6, 1e6), at)
-            upstream.health_weight.set(_figure(weight, 0.0, 1e6), at)
-        if jail is not None:
-            until, time = jail
-            upstream.jailed_until = min(_figure(until, 0.0, 1e12) + offset, now + _JAIL)
-            upstream.jail_time = _figure(time, 0.0, _JAIL)
-        upstream.changed()
+        started = _decode_start(stored_start, offset)
+        # A restarted upstream has nothing in common with what was learned.
+        if abs(started - upstream.member.started) <= MAX_START_DIFFERENCE_S:
+            UpstreamRecord.decode(started, values, offset, now).apply(upstream, now)
+
+
+def _check_length(values: list[Any]) -> None:
+    if len(values) != STORED_UPSTREAM_VALUES:
+        raise LearnedStateError(f"{len(values)} values of an upstream instead of {STORED_UPSTREAM_VALUES}")
+
+
+def _decode_start(stored: Any, offset: float) -> float:
+    """Decode a start time; 0 stands for long ago."""
+    return _figure(stored, 0.0, MAX_CLOCK_S) + offset if stored else stored
 
 
 def _figure(value: Any, least: float, most: float) -> float:
-    """A number within bounds."""
+    """Decode a number within bounds."""
     if isinstance(value, bool) or not least <= float(value) <= most or not math.isfinite(value):
         raise LearnedStateError(f"a figure out of range: {value!r}")
     return float(value)
-
-
-def _estimate(state: Any) -> tuple[float, float]:
-    count, mean = state
-    return _figure(count, 0.0, 1e12), _figure(mean, -50.0, 50.0)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -20,7 +20,7 @@
     SetTimer,
     WatchEndpoints,
 )
-from indigokeel.balancing.balancer import BUSY, QUARANTINE_LONGEST, Balancer
+from indigokeel.balancing.balancer import Balancer
 from indigokeel.balancing.events import (
     AttemptOutcome,
     ClientDisconnected,
@@ -33,7 +33,9 @@
     TimerFired,
     UpdateKind,
 )
+from indigokeel.balancing.outlier_ejection import MAX_EJECTION_S
 from indigokeel.balancing.settings import Limits, LoadReportSource, Prices, Safety, TenantSettings
+from indigokeel.balancing.weighted_selection import BUSY_UTILISATION
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
 
 
@@ -146,7 +148,7 @@
     driver.serve(60, {bad: AttemptOutcome.ERROR})
     log = driver.serve(30, {bad: AttemptOutcome.ERROR})
     assert log.get(bad, 0) <= 3
-    driver.now += QUARANTINE_LONGEST + 20.0
+    driver.now += MAX_EJECTION_S + 20.0
     assert driver.serve(60).get(bad, 0) > 0
 
 
@@ -157,7 +159,7 @@
     for _ in range(60):
         _, actions = driver.request("pay")
         logs = of(driver.end(sends(actions)[0], AttemptOutcome.BROKEN), LogMessage)
-        assert not [log for log in logs if log.text.startswith("quarantine")]
+        assert not [log for log in logs if log.text.startswith("ejected")]
         driver.serve(30)
 
 
@@ -178,7 +180,7 @@
         served = served_since and other.upstream == bad
         if outcome is AttemptOutcome.OK or served or not served_since:
             logs += of(driver.end(stuck, outcome, elapsed=0.5), LogMessage)
-    assert any(log.text == f"quarantine: {bad}" for log in logs) is quarantined
+    assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is quarantined
 
 
 @pytest.mark.parametrize(
@@ -201,11 +203,11 @@
             driver.end(send)
     last, logs = waiting.pop(), list[str]()
     driver.now += 0.5
-    while waiting and f"quarantine: {bad}" not in logs:
+    while waiting and f"ejected {bad}: consecutive failures" not in logs:
         logs += [log.text for log in of(driver.end(waiting.pop(), outcome, elapsed=0.5), LogMessage)]
-    assert f"quarantine: {bad}" in logs
+    assert f"ejected {bad}: consecutive failures" in logs
     logs += [log.text for log in of(driver.end(last, elapsed=0.6), LogMessage)]
-    assert (f"quarantine ends: {bad} answers" in logs) is ends
+    assert (f"ejection of {bad} ended: it responds again" in logs) is ends
     driver.now += 0.01
     got = {sends(driver.request()[1])[0].upstream for _ in range(60)}
     assert (bad in got) is ends
@@ -711,7 +713,7 @@
     """After any sequence of news, expiry and membership the sums equal those made anew."""
     random = Random(5)
     driver = Driver(make_settings(), make_members(60))
-    index = driver.balancer._wheel
+    index = driver.balancer._subset._index
     for step in range(6000):
         driver.now += random.choice((0.0, 0.001, 0.02))
         _, actions = driver.request()
@@ -723,13 +725,13 @@
             driver.news((gone,))
             driver.news(make_members(60))
         index.refresh(driver.now)
-        for side in (index.survivors, index.struck):
-            assert side.open == sum(u.open for u in side.members)
-            assert side.known == sum(u.rate >= 0.0 for u in side.members)
-            assert side.views() == pytest.approx(sum(u.view for u in side.members), abs=1e-6)
+        for side in (index.available, index.busy):
+            assert side.open_attempts == sum(u.open_attempts for u in side.members)
+            assert side.reporting_count == sum(u.rate >= 0.0 for u in side.members)
+            assert side.weight_sum() == pytest.approx(sum(u.weight for u in side.members), abs=1e-6)
         if step % 50 == 0:
-            for side, busy in ((index.survivors, False), (index.struck, True)):
-                assert all((u.utilisation > BUSY) is busy for u in side.members)
+            for side, busy in ((index.available, False), (index.busy, True)):
+                assert all((u.utilisation > BUSY_UTILISATION) is busy for u in side.members)
     assert len(index) == 60
 
 
@@ -785,6 +787,6 @@
         for probe in of(actions, SendHealthCheck):
             ended = HealthCheckEnded(probe.upstream, AttemptOutcome.NOT_SENT, 0.001, None)
             assert not of(driver.balancer.handle(driver.now, ended), LogMessage)
-            assert driver.balancer.learned_figures()[1][probe.upstream].failures == 0
+            assert driver.balancer.learned_figures().upstreams[probe.upstream].consecutive_failures == 0
         (send,) = sends(actions)
         driver.end(send)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from indigokeel.balancing.statistics import hash64
-from indigokeel.balancing.weighted_choice import by_chance, by_key, van_der_corput
+from indigokeel.balancing.hashing import hash64
+from indigokeel.balancing.weighted_choice import choose_at, choose_by_key, van_der_corput
 
 
 @dataclass(frozen=True)
 class Entry:
     name: str
-    salt: int
+    name_hash: int
 
 
 ENTRIES = [Entry(name, hash64(name)) for name in "abc"]
@@ -22,13 +22,13 @@
 
 @pytest.mark.parametrize(("at", "name"), [(0.0, "a"), (0.24, "a"), (0.26, "c"), (0.999, "c"), (1.0, "c")])
 def test_by_chance_stops_at_the_weights(at: float, name: str) -> None:
-    assert by_chance(ENTRIES, [1.0, 0.0, 3.0], at).name == name
+    assert choose_at(ENTRIES, [1.0, 0.0, 3.0], at).name == name
 
 
 def test_by_key_has_the_odds_of_the_weights_and_moves_few_keys() -> None:
-    chosen = [by_key(ENTRIES, [1.0, 1.0, 2.0], hash64(f"key{i}")).name for i in range(4000)]
+    chosen = [choose_by_key(ENTRIES, [1.0, 1.0, 2.0], hash64(f"key{i}")).name for i in range(4000)]
     assert Counter(chosen)["c"] == pytest.approx(2000, abs=150)
-    without = [by_key(ENTRIES[1:], [1.0, 2.0], hash64(f"key{i}")).name for i in range(4000)]
+    without = [choose_by_key(ENTRIES[1:], [1.0, 2.0], hash64(f"key{i}")).name for i in range(4000)]
     assert all(new == old for new, old in zip(without, chosen, strict=True) if old != "a")
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -68,7 +68,8 @@
 def _started(coordinator: RequestCoordinator) -> dict[str, float]:
     """When the decisions take each upstream to have started."""
     return {
-        name: upstream.member.started for name, upstream in coordinator._balancer.learned_figures()[1].items()
+        name: upstream.member.started
+        for name, upstream in coordinator._balancer.learned_figures().upstreams.items()
     }
 
 
--- a/tests/test_facade.py
+++ b/tests/test_facade.py
@@ -156,7 +156,7 @@
     coordinator = RequestCoordinator(make_settings(), 1, 50.0)
     coordinator.update_endpoints(1049.0, EndpointList(1, True, NODES))
     coordinator.update_endpoints(1050.0, EndpointList(2, False, (replace(NODES[0], since=since),)))
-    assert coordinator._balancer.learned_figures()[1][NODES[0].name].member.started == started
+    assert coordinator._balancer.learned_figures().upstreams[NODES[0].name].member.started == started
 
 
 def test_withdrawn_claim_gets_one_ending(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -202,9 +202,9 @@
     effects = coordinator.update_endpoints(100.1, EndpointList(3, True, NODES))
     assert len(effects.attempts) == count
     coordinator.tick(110.0)  # long after any answer would be overdue
-    upstreams = coordinator._balancer.learned_figures()[1].values()
-    assert sum(upstream.open for upstream in upstreams) == count
-    assert sum(upstream.overdue for upstream in upstreams) == 0
+    upstreams = coordinator._balancer.learned_figures().upstreams.values()
+    assert sum(upstream.open_attempts for upstream in upstreams) == count
+    assert sum(upstream.overdue_attempts for upstream in upstreams) == 0
 
 
 @pytest.mark.parametrize(("waited", "sheds"), [(0.0, True), (0.2, False)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -255,7 +255,7 @@
                 if how is AttemptOutcome.ERROR:
                     failures[send.upstream] += 1
                 for log in of(ended, LogMessage):
-                    if log.text == f"quarantine: {send.upstream}" and send.upstream in bad:
+                    if log.text == f"ejected {send.upstream}: consecutive failures" and send.upstream in bad:
                         paid.append(failures[send.upstream])
                         bad.discard(send.upstream)  # one reckoning for each
     assert len(paid) > 100 and sum(paid) / len(paid) < 2.7
@@ -270,5 +270,5 @@
         _, actions = driver.request("pay")
         for send in sends(actions):
             how = AttemptOutcome.ERROR if random.random() < 0.15 else AttemptOutcome.OK
-            put_aside += sum("quarantine" in log.text for log in of(driver.end(send, how), LogMessage))
+            put_aside += sum(log.text.startswith("ejected") for log in of(driver.end(send, how), LogMessage))
     assert put_aside <= 10
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -148,4 +148,4 @@
         (attempt,) = coordinator.pick(1000.1, Request(f"j{number}", "view", 1.0)).attempts
         assert attempt.upstream not in laid and coordinator.address(gone.name) is None
     assert laid == [m.name for m in listed[:50]]
-    assert coordinator._balancer._ranked is None  # nor was the order laid out
+    assert coordinator._balancer._registry._ordered is None  # nor was the order laid out
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -302,7 +302,7 @@
     ],
 )
 def test_ramp(started: float, now: float, part: float) -> None:
-    assert slow_start.ramp(SAFETY, started, now) == pytest.approx(part)
+    assert slow_start.warm_up_weight(SAFETY, started, now) == pytest.approx(part)
 
 
 def test_cold_upstream_is_not_probed() -> None:
--- a/tests/test_structures.py
+++ b/tests/test_structures.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from indigokeel.balancing.statistics import trim_max_min
+from indigokeel.balancing.fair_share import reduce_to_fair_share
 from indigokeel.balancing.zone_ordered_set import ZoneOrderedSet
 
 AMOUNTS = st.lists(st.tuples(st.floats(0.0, 1e3), st.floats(0.01, 1e3)), min_size=1, max_size=6)
@@ -26,13 +26,13 @@
     ],
 )
 def test_trim(amounts: list[float], weights: list[float], excess: float, kept: list[float]) -> None:
-    assert trim_max_min(amounts, weights, excess) == pytest.approx(kept)
+    assert reduce_to_fair_share(amounts, weights, excess) == pytest.approx(kept)
 
 
 @given(AMOUNTS, st.floats(0.0, 1.0))
 def test_trim_cuts_the_excess_and_leaves_one_level(parts: list[tuple[float, float]], share: float) -> None:
     amounts, weights = [a for a, _ in parts], [w for _, w in parts]
-    kept = trim_max_min(amounts, weights, share * sum(amounts))
+    kept = reduce_to_fair_share(amounts, weights, share * sum(amounts))
     assert math.isclose(sum(kept), (1.0 - share) * sum(amounts), rel_tol=1e-6, abs_tol=1e-6)
     levels = [(k / w, a - k > 1e-6) for k, a, w in zip(kept, amounts, weights, strict=True)]
     for cut_to in [level for level, cut in levels if cut]:
@@ -64,5 +64,7 @@
         for number, ranks in enumerate(left.values())
         for at, rank in enumerate(ranks)
     ]
-    assert list(lanes.order(begin)) == [rank for _, _, rank in sorted(placed, key=lambda item: item[:2])]
+    assert list(lanes.iterate_from(begin)) == [
+        rank for _, _, rank in sorted(placed, key=lambda item: item[:2])
+    ]
     assert len(lanes) == len(placed)
