--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -1,4 +1,4 @@
-"""Accepting: no transient error of ``accept`` closes a client or the listener, or makes the loop spin."""
+"""Accepting on real sockets: no transient error of ``accept`` closes a client or the listener."""
 
 from __future__ import annotations
 
@@ -27,21 +27,24 @@
 
 
 class Greeter(asyncio.Protocol):
-    """Greets whoever is connected."""
+    """Send a number to each client."""
 
     made = itertools.count()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the number."""
         cast(asyncio.Transport, transport).write(b"%d" % next(self.made))
 
 
 def backlog(clients: int) -> tuple[socket.socket, list[socket.socket]]:
-    """A listening socket, and clients that wait in its backlog."""
+    """Return a listening socket, and clients in its backlog."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=512)
     return listener, [socket.create_connection(listener.getsockname(), 20.0) for _ in range(clients)]
 
 
 def play(call: Callable[[asyncio.AbstractEventLoop], Coroutine[Any, Any, None]]) -> None:
+    """Run a test on an event loop of its own."""
+
     async def main() -> None:
         await call(asyncio.get_running_loop())
 
@@ -49,8 +52,8 @@
 
 
 @pytest.mark.parametrize("failures", [0, 3])
-def test_close_takes_those_that_wait_first(failures: int) -> None:
-    """Also where descriptors are short in that moment. Nothing runs between ``open`` and ``close``."""
+def test_close_accepts_the_backlog_first(failures: int) -> None:
+    """Also while descriptors are short. Nothing runs between ``open`` and ``close``."""
     listener, clients = backlog(3 * MAX_ACCEPTS_PER_TURN)
 
     class Failing(socket.socket):
@@ -64,9 +67,9 @@
 
     async def call(loop: asyncio.AbstractEventLoop) -> None:
         Greeter.made = itertools.count()
-        taken = ClientListener(loop, Failing(fileno=listener.detach()), Greeter, Counters("test"))
-        taken.open()
-        await taken.close(drain=True)
+        client_listener = ClientListener(loop, Failing(fileno=listener.detach()), Greeter, Counters("test"))
+        client_listener.open()
+        await client_listener.close(drain=True)
         assert next(Greeter.made) == len(clients)
         for client in clients:
             assert client.recv(10)
@@ -75,14 +78,14 @@
     play(call)
 
 
-def test_close_leaves_those_that_wait_to_the_process_that_shares_the_listener() -> None:
+def test_close_leaves_the_backlog_to_the_process_that_shares_the_listener() -> None:
     listener, clients = backlog(3)
 
     async def call(loop: asyncio.AbstractEventLoop) -> None:
         Greeter.made = itertools.count()
-        taken = ClientListener(loop, listener.dup(), Greeter, Counters("test"))
-        taken.open()
-        await taken.close(drain=False)
+        client_listener = ClientListener(loop, listener.dup(), Greeter, Counters("test"))
+        client_listener.open()
+        await client_listener.close(drain=False)
         assert next(Greeter.made) == 0
         other = ClientListener(loop, listener, Greeter, Counters("test"))
         other.open()
@@ -94,7 +97,7 @@
     play(call)
 
 
-def test_fault_in_taking_one_connection_over_costs_no_other() -> None:
+def test_internal_error_in_one_hand_over_affects_no_other_connection() -> None:
     listener, clients = backlog(3)
     protocols = iter([Greeter, None, Greeter])
     counters = Counters("test")
@@ -106,9 +109,9 @@
         return protocol()
 
     async def call(loop: asyncio.AbstractEventLoop) -> None:
-        taken = ClientListener(loop, listener, make, counters)
-        taken.open()
-        await taken.close(drain=True)
+        client_listener = ClientListener(loop, listener, make, counters)
+        client_listener.open()
+        await client_listener.close(drain=True)
         assert [bool(client.recv(10)) for client in clients] == [True, False, True]
         assert counters["accept_hand_over_faults"] == 1
         for client in clients:
@@ -121,8 +124,9 @@
 
 
 def ask_while_stopped(program: Program, clients: int) -> list[int]:
-    """The status that each gets for a question after health, 0 for none. All stand in the backlog when the
-    loop gets to them, and each closes as soon as it has read."""
+    """Return the status of a health check for each client, 0 without a response.
+
+    All are in the backlog when the loop gets to them, and each closes as soon as it has read."""
     with stopped(program):
         waiting = [program.connect() for _ in range(clients)]
         for client in waiting:
@@ -138,8 +142,7 @@
 
 @pytest.mark.parametrize("error", ["ENFILE", "ECONNABORTED"])
 def test_every_client_is_answered_whatever_accept_meets(tmp_path: Path, error: str) -> None:
-    """The errors come from the system call itself, whoever makes it: the loop's own server closed, unread,
-    all that waited."""
+    """The errors come from the system call itself, whoever makes it."""
     source, library = Path(__file__).with_name("accept_faults.c"), tmp_path / "accept_faults.so"
     subprocess.run(["cc", "-shared", "-fPIC", "-o", library, source, "-ldl"], check=True)
     faults = tmp_path / "faults"
@@ -167,7 +170,7 @@
 
 
 def test_silent_clients_that_hold_all_descriptors_make_room_for_one_that_waits(tmp_path: Path) -> None:
-    """They would keep their places for 2.2 s each, by tens: the client would wait for seconds."""
+    """They would stay for 2.2 s each, and the client would wait for seconds."""
     with running(tmp_path, echo) as (program, _, _d):
         assert program.ask(request())[0] == 200
         until(lambda: program.counters()["client_connections_open"] == 0)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,5 +1,5 @@
-"""Once a client closed, reset or ended its sending, no attempt begins for it, in whichever state its request
-is and whether or not its connection is being read."""
+"""Once a client has closed, reset or shut down its sending, no attempt begins for it, in any state of its
+request and whether or not its connection is being read."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 )
 from tests.test_endings import LEAVING, Held
 
-# What the client has sent behind its request: with the last two its connection is not read any more.
+# What the client has sent behind its request: the last two pause reading.
 BEHIND = {
     "nothing": b"",
     "one": request("pay", b"behind"),
@@ -42,6 +42,7 @@
 
 
 def total(upstreams: list[Peer]) -> int:
+    """Return the number of requests that the upstreams received."""
     return sum(len(upstream.got) for upstream in upstreams)
 
 
@@ -49,16 +50,16 @@
 @pytest.mark.parametrize("behind", BEHIND)
 @pytest.mark.parametrize(
     ("state", "first"),
-    [("turned away", status(503, "Not-Started: 1\r\n")), ("failed", status(500)), ("broken", None)],
+    [("rejected", status(503, "Not-Started: 1\r\n")), ("failed", status(500)), ("broken", None)],
 )
 def test_no_further_attempt(
     tmp_path: Path, leave: Leave, behind: str, state: str, first: bytes | None
 ) -> None:
-    """Its attempt ends so that another would follow, at once or after a delay, and its client has left."""
-    let = threading.Event()
+    """The attempt ends so that another would follow, at once or after a delay, and the client has left."""
+    release = threading.Event()
 
     def script(message: Message) -> bytes | None:
-        let.wait(WAIT)
+        release.wait(WAIT)
         return echo(message) if message.body == b"end" else first
 
     with running(tmp_path, script, script) as (program, upstreams, _), program.connect() as conn:
@@ -67,7 +68,7 @@
         program.counters()
         before = total(upstreams)  # a second one may have been sent beside the first
         leave(conn)
-        let.set()
+        release.set()
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
         assert program.ask(request("pay", b"end"))[1].body == b"end"
         until(lambda: program.counters()["requests_unanswered"] == 0)
@@ -77,7 +78,7 @@
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_second_attempt_beside_the_first(tmp_path: Path, leave: Leave, behind: str) -> None:
-    """A hedged request: the second attempt would be sent while the first is out."""
+    """A hedged request: the second attempt would be sent while the first is in flight."""
     upstream, other = Held(), Held()
     with running(tmp_path, upstream, other) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request("view", wait_ms=1200) + BEHIND[behind])
@@ -108,18 +109,18 @@
 
 @pytest.mark.parametrize("leave", LEAVING)
 def test_last_byte_of_a_long_body_is_not_passed_on(tmp_path: Path, leave: Leave) -> None:
-    """An attempt begins for the upstream with its last byte. The client has written all of it and left while
-    the upstream took little, so that nothing was read of that."""
+    """For the upstream an attempt begins with the last byte. The client has written all of the body and left
+    while the upstream read little, so that reading was paused."""
     size, left, whole = 16 << 20, threading.Event(), []
 
     def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
-        taken = 0
+        received = 0
         while data := file.read1(1 << 18):
-            taken += len(data)
-            if taken == size:
-                whole.append(taken)
+            received += len(data)
+            if received == size:
+                whole.append(received)
                 conn.sendall(ok())
             left.wait(0.01)
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,5 +1,5 @@
-"""Crowds that fill the descriptors, and the loop that runs late under them: nothing owed is cut off, nobody
-who has left is worked for, and making room costs little."""
+"""Crowds that exhaust the descriptors, and an event loop that runs late: no response is truncated, no
+request is sent for a client that has gone, and eviction is cheap."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @contextlib.contextmanager
 def stopped(program: Program) -> Iterator[None]:
-    """The loop stands still within, whatever comes; then it finds all of it at once."""
+    """Stop the process, so that its event loop finds all that arrives meanwhile at once."""
     os.kill(program.process.pid, signal.SIGSTOP)
     until(lambda: _state(program) == "T")
     yield
@@ -45,8 +45,7 @@
 def test_request_that_is_read_after_its_client_left_is_not_sent_on(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    """The request and the end of its stream are both here when the loop gets to them: the request was read
-    first, and sent on at once."""
+    """The loop reads the request first, while the end of the stream has arrived behind it."""
     with running(tmp_path, lambda message: ok(message.body)) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"0"))
@@ -73,7 +72,7 @@
 def test_further_attempt_is_not_begun_once_its_client_has_left(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    """The first attempt was turned away and the client left, in this order, while the loop stood still."""
+    """The first attempt is rejected and then the client leaves, before the loop runs again."""
     let = threading.Event()
 
     def full(message: Message) -> bytes:
@@ -99,10 +98,10 @@
 
 
 def test_answer_that_its_client_has_not_got_yet_is_not_cut_off_to_make_room(tmp_path: Path) -> None:
-    """It stands in the system's queue, for the client reads slowly, and bytes that nobody will read are here:
-    closed now, the connection would be reset and the answer go with it."""
+    """The response is in the system's queue, because the client reads slowly, and there is unread input: a
+    close would reset the connection and discard the response."""
     with (
-        running(tmp_path, lambda _: ok(BIG), sockets=SOCKETS) as (program, _nodes, _d),
+        running(tmp_path, lambda _: ok(BIG), sockets=SOCKETS) as (program, _upstreams, _d),
         socket.socket() as conn,
     ):
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -127,35 +126,35 @@
             other.close()
 
 
-def test_half_a_message_that_has_to_go_is_told_first(tmp_path: Path) -> None:
-    """Its sender may be about to write the last byte: a close without a word would lose that request."""
-    with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _nodes, _d):
+def test_evicted_partial_request_gets_a_response_first(tmp_path: Path) -> None:
+    """Its sender may be about to write the last byte: a close without a response would lose the request."""
+    with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _upstreams, _d):
         whole = [request("pay", b"%d" % number) for number in range(CLIENTS)]
         halves = [program.connect() for _ in whole]
         for conn, message in zip(halves, whole, strict=True):
             conn.sendall(message[:-1])
         until(lambda: program.counters()["client_connections_open"] >= CLIENTS)
-        time.sleep(0.6)  # they have not grown for so long; longer does no harm
+        time.sleep(0.6)  # past the time after which they count as stalled; longer does no harm
         for number in range(5):
             assert program.ask(request("pay", b"x%d" % number))[1].body == b"x%d" % number
-        told = 0
+        refused = 0
         for conn, message in zip(halves, whole, strict=True):
             with contextlib.suppress(OSError):
                 conn.sendall(message[-1:])
             code, answer = read_answer(conn.makefile("rb"))
             assert code == 200 and answer.body in message or code in (408, 503)
-            told += code != 200
+            refused += code != 200
             conn.close()
-        assert told > 0 and program.counters()["requests_unanswered"] == 0
+        assert refused > 0 and program.counters()["requests_unanswered"] == 0
 
 
-class _Desk:
-    """The sidecar, as far as a session that reads half a message asks it."""
+class _Handler:
+    """The sidecar, as far as a connection with a partial request needs it."""
 
     overloaded = closing = False
 
-    def connection_opened(self, session: ClientConnection) -> None:
-        self.session = session
+    def connection_opened(self, connection: ClientConnection) -> None:
+        self.connection = connection
 
 
 class _Transport(asyncio.Transport):
@@ -163,21 +162,21 @@
         super().__init__({"socket": sock})
 
 
-def test_message_whose_last_byte_is_here_unread_does_not_stand_still() -> None:
+def test_request_whose_last_byte_is_unread_has_not_stalled() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        session = ClientConnection(cast(Handler, _Desk()), Counters("n0"))
-        session.connection_made(_Transport(ours))
-        session.data_received(b"GET /view/k1 HT")
+        connection = ClientConnection(cast(Handler, _Handler()), Counters("n0"))
+        connection.connection_made(_Transport(ours))
+        connection.data_received(b"GET /view/k1 HT")
         late = time.monotonic() + 10.0
-        assert session.stalled_for(late) > 9.0 and not session.has_unread_input()
+        assert connection.stalled_for(late) > 9.0 and not connection.has_unread_input()
         theirs.sendall(b"TP/1.1\r\n\r\n")
-        assert session.stalled_for(late) == 0.0 and session.has_unread_input()
+        assert connection.stalled_for(late) == 0.0 and connection.has_unread_input()
 
 
-def test_crowd_beyond_the_descriptors_leaves_true_requests_their_answers(tmp_path: Path) -> None:
-    """Three crowds while discovery is silent: such as say nothing, send half, or ask once and stay."""
-    with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _nodes, _d):
+def test_crowd_beyond_the_descriptors_leaves_other_requests_their_responses(tmp_path: Path) -> None:
+    """A crowd of which a third sends nothing, a third half a request, and a third one request and stays."""
+    with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _upstreams, _d):
         crowd = []
         for number in range(60):
             conn = program.connect()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""What ends a client connection, or the process, with something still owed: each crossing forced."""
+"""Ends of a client connection, or of the process, that cross with a request or a response."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Held(Peer):
-    """An upstream that answers nothing until it is let."""
+    """An upstream that responds to nothing until ``let`` is set."""
 
     def __init__(self, script: Callable[[Message], bytes] = echo) -> None:
         self.let = threading.Event()
@@ -58,15 +58,15 @@
 
 
 def read_all(conn: socket.socket) -> bytes:
-    """All bytes up to the end of the stream; a reset raises."""
+    """Return all bytes up to the end of the stream; raise if it is reset."""
     got = b""
     while data := conn.recv(1 << 16):
         got += data
     return got
 
 
-def sum_up(**classes: float) -> dict[str, Any]:
-    """The settings with other deadlines."""
+def settings_with_deadlines(**classes: float) -> dict[str, Any]:
+    """Return the settings with other deadlines, by class."""
     named = [
         {**cls, "deadline-s": classes.get(cls["name"], cls["deadline-s"])} for cls in SETTINGS["classes"]
     ]
@@ -78,8 +78,8 @@
 
 @pytest.mark.parametrize("behind", [request(), b"noise" * 4, b"x" * 150_000, request() * 12])
 def test_last_answer_arrives_whole_over_bytes_that_are_not_read(tmp_path: Path, behind: bytes) -> None:
-    """A close over unread bytes resets the connection, and the answer goes with it. The bytes are here
-    before the answer is: the upstream is held until then."""
+    """A close over unread bytes resets the connection, and the response is lost. The bytes have arrived
+    before the upstream responds."""
     with running(tmp_path, Held(lambda _: ok(BIG))) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
         until(lambda: len(upstream.got) == 1)
@@ -128,8 +128,8 @@
 
 
 def test_nothing_that_comes_after_the_own_end_is_taken(tmp_path: Path) -> None:
-    """A connection that rests is ended, by the shutdown; its client writes when it reads the end, and rests
-    on. Nothing of that is parsed or sent on, and the shutdown does not wait for that client for good."""
+    """The shutdown ends an idle connection, whose client writes once it reads the end, and then stays.
+    Nothing of that is parsed or sent on, and the shutdown does not wait for the client for good."""
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request())
         file = conn.makefile("rb")
@@ -171,8 +171,7 @@
 def test_request_whose_client_left_behind_an_earlier_one_is_not_sent_on(
     tmp_path: Path, behind: bytes, leave: Callable[[socket.socket], None]
 ) -> None:
-    """While the reader was stopped nobody was told that the client had left, and what it had sent ahead was
-    sent on, one after the other."""
+    """The event loop does not report that a client has closed while reading is paused."""
     with running(tmp_path, Held()) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"1"))
@@ -200,7 +199,7 @@
 def test_requests_whose_clients_leave_in_a_burst_are_not_sent_on(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    """There is no upstream, so they wait; all leave at once, and then there is one."""
+    """The requests wait because there is no upstream; one is added after all clients have left."""
     with running(tmp_path, echo, sockets=1024) as (program, (upstream,), discovery):
         until(lambda: bool(discovery.watches))
         discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
@@ -221,28 +220,31 @@
 
 
 @contextlib.contextmanager
-def deaf() -> Iterator[tuple[socket.socket, Callable[[], None]]]:
-    """An upstream to which no connection comes up until the second value is called."""
+def unresponsive_listener() -> Iterator[tuple[socket.socket, Callable[[], None]]]:
+    """Yield the listener of an upstream that accepts no connection, and a function that makes it accept."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener, contextlib.ExitStack() as stack:
         fillers = [stack.enter_context(socket.socket()) for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
 
-        def hear() -> None:
+        def accept() -> None:
             for filler in fillers:
                 filler.close()
 
-        yield listener, hear
+        yield listener, accept
 
 
 @pytest.mark.parametrize("leave", LEAVING)
 def test_request_whose_client_left_while_its_connection_came_up_is_not_sent_on(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    settings = {**sum_up(pay=120.0), "limits": {**SETTINGS["limits"], "connect-timeout-s": 60.0}}
+    settings = {
+        **settings_with_deadlines(pay=120.0),
+        "limits": {**SETTINGS["limits"], "connect-timeout-s": 60.0},
+    }
     with (
-        deaf() as (listener, hear),
+        unresponsive_listener() as (listener, accept),
         running(tmp_path, echo, settings=settings) as (program, (upstream,), discovery),
     ):
         until(lambda: bool(discovery.watches))
@@ -254,7 +256,7 @@
         until(lambda: program.counters()["attempts_waiting"] == 1)
         leave(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        hear()
+        accept()
         assert program.counters()["attempts_waiting"] == 0
         discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
         until(lambda: program.ask(request("pay", b"2"))[0] == 200)
@@ -274,8 +276,7 @@
 
 
 def test_answers_that_are_not_written_out_at_the_end_still_go_out(tmp_path: Path) -> None:
-    """Found by reading: an answer counted as written once the event loop had it, and the process ended over
-    what its client had not taken yet."""
+    """The event loop has them, but their client has not read them when the process is to end."""
     with running(tmp_path, lambda _: ok(BIG)) as (program, _, _d), socket.socket() as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         conn.settimeout(WAIT)
@@ -298,8 +299,12 @@
     tmp_path: Path, sent: bool
 ) -> None:
     """SIGKILL comes 3 s and 0.7 s after SIGTERM where the longest deadline is over 3 s: a request that was
-    taken for a minute has its one answer before that, whether its attempt hangs or it has none."""
-    with running(tmp_path, Held(), settings=sum_up(pay=60.0)) as (program, (upstream,), discovery):
+    accepted for a minute has its response before that, whether its attempt hangs or it has none."""
+    with running(tmp_path, Held(), settings=settings_with_deadlines(pay=60.0)) as (
+        program,
+        (upstream,),
+        discovery,
+    ):
         if not sent:
             until(lambda: bool(discovery.watches))
             discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
@@ -316,9 +321,11 @@
             assert program.last_counters()["requests_unanswered"] == 0
 
 
-def test_request_in_the_moment_of_each_step_of_the_end_has_one_answer_or_none_taken(tmp_path: Path) -> None:
-    """Clients that send and rest in turn, over and over, through the whole shutdown: each request is either
-    answered whole, or its connection ended with none of it sent on."""
+def test_request_in_the_moment_of_each_step_of_the_end_has_one_answer_or_none_taken(
+    tmp_path: Path,
+) -> None:
+    """Clients send and pause in turn through the whole shutdown: each request either has a complete
+    response, or its connection ended and nothing of it was sent on."""
     with running(tmp_path, echo) as (program, (upstream,), _):
         wrong: list[object] = []
         answered: list[bytes] = []
@@ -371,8 +378,8 @@
         assert program.process.wait(WAIT) == 0
 
 
-def test_sigterm_while_the_first_list_is_awaited(tmp_path: Path) -> None:
-    """Lists are pushed and the agent is silent: what came is answered, and the end is in order."""
+def test_sigterm_before_the_first_endpoint_list(tmp_path: Path) -> None:
+    """Lists are pushed and the agent is silent: requests have responses, and the end is graceful."""
     from tests.test_watch import PUSHED, Agent
 
     agent = Agent()
@@ -380,22 +387,22 @@
         until(program.ready)
         with program.connect() as conn:
             conn.sendall(request(wait_ms=1000))
-            _taken(program, 1)
+            _await_accepted(program, 1)
             program.process.send_signal(signal.SIGTERM)
             assert read_answer(conn.makefile("rb"))[0] in (200, 503)
             assert program.process.wait(WAIT) == 0
         agent.let.set()
 
 
-def _taken(program: Program, count: int) -> None:
+def _await_accepted(program: Program, count: int) -> None:
     until(lambda: program.counters().get("requests_accepted", 0) == count)
 
 
 def test_message_whose_last_byte_comes_as_the_process_ends_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half a message may become whole for a moment after the listener has gone. Its last byte comes here when
-    that moment is over and the loop has not read it: before the last look at what is owed."""
+    """A partial request may be completed for a short time after the listener has closed. Its last byte
+    arrives when that time is over, and before the shutdown checks for the last time what is owed."""
     upstream = Peer(echo)
     config = tmp_path / "config.json"
     known = parse_endpoint_list(entry("s-0", upstream.port))
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -1,5 +1,5 @@
-"""Requests that come ahead of their turn on one client connection: each that was read has one answer, in its
-place; only broken framing ends the connection, after the answers to what came before."""
+"""Requests that are pipelined on one client connection: each that was read has one response, in order; only
+broken framing ends the connection, after the responses to what came before it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from indigokeel.requests.effects import FinalStatus, Request
 from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_answer, request, running, until
 from tests.test_endings import HEALTH, Held
-from tests.test_net import LateDesk
+from tests.test_net import OverloadedHandler
 
 LONG = b"z" * 150_000
 PAY, LAST = request("pay", b"one"), request("pay", b"last")
@@ -34,11 +34,12 @@
 
 
 def without(name: bytes, raw: bytes) -> bytes:
+    """Return a request without one of its headers."""
     return re.sub(name + rb": [^\r]*\r\n", b"", raw)
 
 
 def codes_of(conn: socket.socket) -> list[int]:
-    """The codes of all answers up to the end of the stream."""
+    """Return the status codes of all responses up to the end of the stream."""
     file, found = conn.makefile("rb"), []
     while file.peek(1):
         found.append(read_answer(file)[0])
@@ -99,7 +100,7 @@
         assert [message.body for message in upstream.got] == [b"one", b"last"]
 
 
-def test_error_in_a_request_that_had_its_error_is_told_once(tmp_path: Path) -> None:
+def test_request_has_one_error_response_even_if_its_body_breaks_off_later(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
         conn.sendall(BAD_CHUNK)
         file = conn.makefile("rb")
@@ -108,7 +109,7 @@
         assert file.read() == b""
 
 
-def test_upload_that_breaks_off_after_its_answer_gets_no_second_one(tmp_path: Path) -> None:
+def test_streamed_body_that_breaks_off_after_its_response_gets_no_second_one(tmp_path: Path) -> None:
     with running(tmp_path) as (program, _, _d), program.connect() as conn:
         head = request("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         conn.sendall(head + b"20000\r\n" + b"x" * 0x20000 + b"\r\n")
@@ -127,7 +128,7 @@
         assert read_answer(file)[1].body == b"one"
 
 
-def test_id_of_an_open_request_is_told_in_its_place(tmp_path: Path) -> None:
+def test_duplicate_request_id_is_refused_in_order(tmp_path: Path) -> None:
     held, quick = Held(), Peer(echo)
     same = PAY.replace(b"one", LONG).replace(b"Length: 3", b"Length: %d" % len(LONG))  # its body is long
     with (
@@ -147,10 +148,10 @@
     quick.close()
 
 
-def test_long_body_that_is_whole_before_its_turn_leaves_the_connection_read(tmp_path: Path) -> None:
-    """Nobody took back that its connection was to wait: nothing more was ever read on it."""
-    pieces = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
-    long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + pieces
+def test_long_body_that_is_complete_before_its_turn_does_not_block_reading(tmp_path: Path) -> None:
+    """Reading resumes once the body need not be streamed any more."""
+    chunks = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
+    long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + chunks
     with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + long)
         until(lambda: len(upstream.got) == 1)
@@ -162,7 +163,7 @@
         assert read_answer(file)[1].body == b"last"
 
 
-def test_client_that_waits_for_a_word_behind_another_request_gets_it_in_its_turn(tmp_path: Path) -> None:
+def test_continue_is_sent_in_order_behind_another_request(tmp_path: Path) -> None:
     with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
         until(lambda: len(upstream.got) == 1)
@@ -176,8 +177,8 @@
 
 
 def test_requests_that_ran_out_of_time_behind_another_are_refused_and_never_sent(tmp_path: Path) -> None:
-    """They were sent on with the time that they had when they were read: 186 of 233 attempts were given up at
-    once, counted as late answers of the upstreams, and everyone's requests were shed."""
+    """Their budget has run since they arrived. Sent on, they would count as late responses of the
+    upstreams."""
     with running(tmp_path, Held(), Held()) as (program, upstreams, _), program.connect() as conn:
         ahead = b"".join(request("pay", b"x", wait_ms=300) for _ in range(20))
         conn.sendall(request("pay", b"first", wait_ms=1000) + ahead + LAST)
@@ -209,46 +210,50 @@
 # --- in this process --------------------------------------------------------------------------------------
 
 
-class Handler(LateDesk):
-    """A sidecar that answers with the body, each time after ``take`` has returned if it is ``slow``."""
+class Handler(OverloadedHandler):
+    """A sidecar that responds with the request's body, unless it is ``slow``: then the test responds."""
 
     overloaded = False
 
     def __init__(self, slow: bool = False, faulty: Callable[[Request], bool] = lambda request: False) -> None:
-        self.slow, self.faulty = slow, faulty
-        self.taken: list[str] = []
+        self.slow = slow
+        self.faulty = faulty
+        self.request_ids: list[str] = []
         self.budget = 0.0  # of the last one
 
     def shed_early(
-        self, session: ClientConnection, arrived: float, class_name: str, budget: float
+        self, connection: ClientConnection, arrived: float, class_name: str, budget: float
     ) -> float | None:
         return None
 
     def handle_request(
-        self, session: ClientConnection, arrived: float, request: Request, task: OutboundRequest
+        self, connection: ClientConnection, arrived: float, request: Request, outbound: OutboundRequest
     ) -> None:
         if self.faulty(request):
             raise KeyError("a fault")
-        self.taken.append(request.id)
+        self.request_ids.append(request.id)
         self.budget = request.budget
         if not self.slow:
-            session.send_final_response(
-                FinalResponse(FinalStatus.SERVED, 0.0, UpstreamResponse(AttemptOutcome.OK, None, task.body))
+            connection.send_final_response(
+                FinalResponse(
+                    FinalStatus.SERVED, 0.0, UpstreamResponse(AttemptOutcome.OK, None, outbound.body)
+                )
             )
 
 
 async def connected(handler: Handler) -> tuple[ClientConnection, socket.socket, Counters]:
+    """Return a connection, the client's socket and the counters."""
     near, far = socket.socketpair()
     near.setblocking(False)
     counters = Counters("t")
-    _, session = await asyncio.get_running_loop().create_connection(
+    _, connection = await asyncio.get_running_loop().create_connection(
         lambda: ClientConnection(handler, counters), sock=near
     )
-    return session, far, counters
+    return connection, far, counters
 
 
 async def read_to_the_end(far: socket.socket) -> list[bytes]:
-    """The codes of all answers."""
+    """Return the status codes of all responses."""
     far.setblocking(False)
     got = b""
     while data := await asyncio.get_running_loop().sock_recv(far, 65536):
@@ -257,7 +262,7 @@
     return re.findall(rb"HTTP/1.1 (\d+)", got)
 
 
-def test_fault_while_a_connection_is_read_leaves_what_came_before_to_be_served(
+def test_internal_error_while_reading_leaves_earlier_requests_to_be_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def faulty(method: bytes, *args: Any) -> ReceivedRequest:
@@ -289,22 +294,22 @@
 
     codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
     assert codes == [b"200"] * 2 + [b"500"] * 4
-    assert (counters["client_connection_faults"], len(handler.taken)) == (1, 2)
+    assert (counters["client_connection_faults"], len(handler.request_ids)) == (1, 2)
 
 
 @pytest.mark.parametrize("small", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
 def test_what_is_read_ahead_is_bounded_however_much_comes_at_once(small: bytes) -> None:
     async def play() -> tuple[int, bool]:
-        session, far, _ = await connected(Handler(slow=True))
+        connection, far, _ = await connected(Handler(slow=True))
         far.setblocking(False)
         sent = far.send(PAY + small * (200_000 // len(small)))
         most = 0
         for _ in range(50):
             await asyncio.sleep(0)
-            waiting = session._input.pipeline
+            waiting = connection._input.pipeline
             most = max(most, len(waiting._requests))
-        assert sent > 50_000 and session.has_unread_input()
-        paused = session._input.flow.paused_at > 0.0
+        assert sent > 50_000 and connection.has_unread_input()
+        paused = connection._input.flow.paused_at > 0.0
         far.close()
         await asyncio.sleep(0.01)
         return most, paused
@@ -316,17 +321,17 @@
 def test_request_that_came_while_nothing_was_read_has_no_more_time_than_its_client() -> None:
     async def play() -> list[float]:
         handler, budgets = Handler(slow=True), []
-        session, far, _ = await connected(handler)
+        connection, far, _ = await connected(handler)
         far.sendall(b"".join(request("pay", b"x") for _ in range(1 + MAX_QUEUED_REQUESTS)))
-        while not session._input.flow.paused_at:
+        while not connection._input.flow.paused_at:
             await asyncio.sleep(0.001)
         far.sendall(request("pay", b"late"))
         await asyncio.sleep(0.2)
         for number in range(1, 3 + MAX_QUEUED_REQUESTS):
-            while len(handler.taken) < number:
+            while len(handler.request_ids) < number:
                 await asyncio.sleep(0.001)
             budgets.append(handler.budget)
-            session.send_final_response(FinalResponse(FinalStatus.SERVED))
+            connection.send_final_response(FinalResponse(FinalStatus.SERVED))
         far.close()
         return budgets
 
@@ -337,14 +342,14 @@
 @pytest.mark.parametrize(
     "sent", [b"", PAY, PAY[:-1], request("odd"), b"noise\r\n\r\n", request("pay", LONG)[:100_000]]
 )
-def test_connection_that_is_gone_is_let_go_without_the_collector(sent: bytes) -> None:
+def test_closed_connection_is_freed_without_the_garbage_collector(sent: bytes) -> None:
     async def play() -> weakref.ref[ClientConnection]:
-        session, far, _ = await connected(Handler())
-        found = weakref.ref(session)
+        connection, far, _ = await connected(Handler())
+        found = weakref.ref(connection)
         far.sendall(sent)
         await asyncio.sleep(0.01)
         far.close()
-        del session
+        del connection
         await asyncio.sleep(0.01)
         return found
 
--- a/tests/unit/net/downstream/test_listener.py
+++ b/tests/unit/net/downstream/test_listener.py
@@ -143,8 +143,8 @@
 
 def test_one_turn_accepts_a_bounded_number() -> None:
     system = System(10 * MAX_ACCEPTS_PER_TURN + 1, [])
-    taken = [system.run_once() for _ in range(11)]
-    assert taken == [MAX_ACCEPTS_PER_TURN] * 10 + [1] and system.pauses == []
+    accepted_per_turn = [system.run_once() for _ in range(11)]
+    assert accepted_per_turn == [MAX_ACCEPTS_PER_TURN] * 10 + [1] and system.pauses == []
 
 
 def test_watch_that_the_system_refuses_is_retried() -> None:
