--- a/indigokeel/balancing/endpoint_refresh.py
+++ b/indigokeel/balancing/endpoint_refresh.py
@@ -48,4 +48,4 @@
             return
         delay_s = self._delay_s * self._random.uniform(MIN_JITTER, 1.0)
         self._delay_s = min(max(self._delay_s * 2.0, INITIAL_RETRY_DELAY_S), self._max_delay_s)
-        self._timers.start(delay_s, lambda now: self._sink.add(WatchEndpoints()))
+        self._timers.start(delay_s, lambda _: self._sink.add(WatchEndpoints()))
--- a/indigokeel/balancing/events.py
+++ b/indigokeel/balancing/events.py
@@ -142,7 +142,7 @@
 
 @dataclass(slots=True)
 class LagSampled:
-    """How late the sidecar itself runs, in seconds; told at a steady beat, as far as it can keep it."""
+    """How late the process itself runs, in seconds; sampled at a steady interval as far as it can."""
 
     seconds: float
 
--- a/indigokeel/balancing/open_requests.py
+++ b/indigokeel/balancing/open_requests.py
@@ -50,7 +50,7 @@
         self._waiting[request.id] = request
         time_left_s = request.deadline - now
         wait_s = min(time_left_s * MAX_WAIT_RATIO, time_left_s - RULE_MARGIN_S)
-        self._timers.start(wait_s, lambda fired_at: self._give_up_waiting(request))
+        self._timers.start(wait_s, lambda _: self._give_up_waiting(request))
 
     def stop_waiting(self, request: RequestState) -> None:
         """Note that an upstream was found for a request."""
--- a/indigokeel/balancing/rejection_sampling.py
+++ b/indigokeel/balancing/rejection_sampling.py
@@ -74,7 +74,7 @@
         subset: Subset,
         random: Random,
     ) -> None:
-        """``selection`` chooses among the whole ``subset`` where sampling keeps rejecting."""
+        """Create a sampler; ``selection`` chooses among the ``subset`` where sampling keeps rejecting."""
         self._index = index
         self._warm_up = warm_up
         self._selection = selection
--- a/indigokeel/balancing/request_state.py
+++ b/indigokeel/balancing/request_state.py
@@ -65,8 +65,10 @@
         self.done = False
 
     def has_attempts_left(self) -> bool:
-        """Return whether the limit allows another attempt. Attempts that never began do not count towards it,
-        within a bound."""
+        """Return whether the limit allows another attempt.
+
+        Attempts that never began do not count towards it, within a bound.
+        """
         begun = sum(attempt.begun for attempt in self.attempts)
         bound = self.max_attempts + MAX_ATTEMPTS_NOT_BEGUN
         return begun < self.max_attempts and len(self.attempts) < bound
--- a/indigokeel/balancing/selection_index.py
+++ b/indigokeel/balancing/selection_index.py
@@ -78,8 +78,10 @@
     def __init__(
         self, update_weight: Callable[[float, UpstreamState], None], busy_utilisation: float
     ) -> None:
-        """``update_weight`` brings the figures of an upstream up to date; over ``busy_utilisation`` it is
-        busy."""
+        """Create an empty index.
+
+        ``update_weight`` brings the figures of an upstream up to date; over ``busy_utilisation`` it is busy.
+        """
         self._update_weight = update_weight
         self._busy_utilisation = busy_utilisation
         self._contributions: dict[UpstreamState, _Contribution] = {}
--- a/indigokeel/balancing/settings.py
+++ b/indigokeel/balancing/settings.py
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything an instance is told at its start."""
+    """Everything an instance is configured with."""
 
     classes: tuple[ClassSettings, ...]
     instance_index: int = 0
--- a/indigokeel/balancing/upstream_selection.py
+++ b/indigokeel/balancing/upstream_selection.py
@@ -63,8 +63,10 @@
         return self._selection.choose(now, usable, key) if usable else None
 
     def _select_further(self, now: float, request: RequestState) -> UpstreamState | None:
-        """Select an upstream that was not tried, and none that warms up: failures of the warm ones must not
-        be turned on those with the least capacity."""
+        """Select an upstream that was not tried, and none that is warming up.
+
+        Failures of the warm ones must not be redirected to those with the least capacity.
+        """
         pool = self._retry_pool(now, request)
         if len(pool) > RETRY_SAMPLE_SIZE:
             sampled = self._random.sample(pool, RETRY_SAMPLE_SIZE)
--- a/indigokeel/net/downstream/pipeline.py
+++ b/indigokeel/net/downstream/pipeline.py
@@ -1,5 +1,6 @@
-"""The input of one client connection that has no response yet: complete requests in order, and bytes that
-are not parsed. No I/O.
+"""The input of one client connection that has no response yet. No I/O.
+
+It consists of complete requests, in order, and of bytes that are not parsed.
 
 llhttp parses all that it is given and cannot be stopped, so it is given slices. That bounds the memory of one
 connection to MAX_QUEUED_REQUESTS, the requests that fit into one slice, and the bytes of one read.
@@ -19,8 +20,9 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that awaits its response: ``received`` to be served, ``error`` to be reported, or, with
-    neither, a health check.
+    """A request that awaits its response.
+
+    It has ``received`` to be served, ``error`` to be reported, or, with neither, is a health check.
     """
 
     arrived_at: float  # monotonic seconds at which its last byte may have arrived
--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -68,7 +68,7 @@
         counters: Counters,
         timeouts: ClientTimeouts,
     ) -> None:
-        """``connection`` returns the owner of this object."""
+        """Create the dispatcher of the connection that ``connection`` returns."""
         self._connection = connection
         self._handler = handler
         self._counters = counters
@@ -273,12 +273,13 @@
     def _on_fault(self, error: Exception) -> None:
         """Respond to all that was read with an error, and end the connection."""
         self._record_fault(error)
+        if self.writer.is_streaming():  # no complete response can be written any more
+            self._connection().abort()
+            return
         try:
-            if self.writer.is_streaming():
-                raise error
             self.refuse_all(_INTERNAL_ERROR)
             self._connection().on_finished()
-        except Exception:  # no complete response can be written any more
+        except Exception:  # nothing can be written any more
             self._connection().abort()
 
     def _record_fault(self, error: Exception) -> None:
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -1,5 +1,6 @@
-"""Parses the requests of one client connection, and tells broken framing, which ends the connection, from a
-well-framed request that cannot be served. No I/O.
+"""Parses the requests of one client connection. No I/O.
+
+Broken framing ends the connection; a well-framed request that cannot be served gets an error in its place.
 """
 
 from __future__ import annotations
@@ -69,7 +70,7 @@
     )
 
     def __init__(self, events: RequestEvents, settings: Callable[[], Settings]) -> None:
-        """``settings`` returns those in force."""
+        """Create a parser; ``settings`` returns those in force."""
         self._events = events
         self._settings = settings
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -186,7 +186,8 @@
         services = self._services
         connection = self._connection
         stream = response.stream
-        assert connection is not None and stream is not None
+        assert connection is not None
+        assert stream is not None
         self._is_streaming = True
         services.idle_resets.record(time.monotonic(), self._idle_s, False)
         stream.on_cancel = lambda: services.connections.close(connection)
--- a/indigokeel/net/upstream/backoff.py
+++ b/indigokeel/net/upstream/backoff.py
@@ -35,7 +35,7 @@
 
 
 class LocalRetryDelays:
-    """The delays of one connection's reads and writes that fail on this machine, made on the first failure."""
+    """The delays of one connection's reads and writes that fail on this machine."""
 
     __slots__ = ("_backoff",)
 
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import time
+from dataclasses import dataclass
 
 from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.metrics import Counters
@@ -29,36 +30,39 @@
 _OUTCOME_COUNTERS = {outcome: "attempt_" + outcome.name.lower() for outcome in AttemptOutcome}
 
 
+@dataclass(frozen=True, slots=True)
+class UpstreamClientOptions:
+    """The limits and times of a client."""
+
+    connect_timeout_s: float
+    keepalive_s: float  # after which upstreams close an idle connection
+    max_connections: int
+    seed: int = 0  # of random delays
+    preconnects: bool = False  # open a connection to each new upstream before its first attempt
+
+
 class UpstreamClient:
     """Sends attempts and health checks to upstreams."""
 
     def __init__(
-        self,
-        coordinator: RequestCoordinator,
-        counters: Counters,
-        connect_timeout: float,
-        keepalive: float,
-        most: int,
-        seed: int = 0,
-        warm: bool = False,
+        self, coordinator: RequestCoordinator, counters: Counters, options: UpstreamClientOptions
     ) -> None:
-        """Times are seconds; ``most`` limits the connections.
-
-        ``warm`` opens a connection to each new upstream before its first attempt.
-        """
+        """Create a client for the attempts that ``coordinator`` orders."""
         self._coordinator = coordinator
         self._counters = counters
-        self._warm = warm
-        self._connect_timeout_s = connect_timeout
+        self._preconnects = options.preconnects
+        self._connect_timeout_s = options.connect_timeout_s
         self._in_flight: dict[tuple[str, int], AttemptSender] = {}  # by request and number
         self.connections = ConnectionPool(
-            ConnectionLimits.of(most),
+            ConnectionLimits.of(options.max_connections),
             UpstreamExchange,
             Telemetry(counters.add, lambda level, text: counters.log(text, level), time.monotonic),
-            PoolOptions(seed, connect_timeout, keepalive * _MAX_IDLE_RATIO),
+            PoolOptions(options.seed, options.connect_timeout_s, options.keepalive_s * _MAX_IDLE_RATIO),
         )
         releaser = ConnectionReleaser(self.connections, counters, coordinator.address)
-        self._health_checker = HealthChecker(self.connections, releaser, coordinator.address, connect_timeout)
+        self._health_checker = HealthChecker(
+            self.connections, releaser, coordinator.address, options.connect_timeout_s
+        )
         self._services = AttemptServices(
             coordinator, self.connections, releaser, self.connections.idle_resets, counters, self
         )
@@ -102,7 +106,7 @@
 
     def warm_up(self, upstreams: list[str]) -> None:
         """Open a connection to each of some new upstreams, if the client is set up so."""
-        if not self._warm:
+        if not self._preconnects:
             return
         for upstream in upstreams:
             address = self._coordinator.address(upstream)
--- a/indigokeel/net/upstream/socket_writer.py
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -30,8 +30,8 @@
     """Writes to one socket, in order, and retries writes that fail on this machine."""
 
     __slots__ = (
-        "_events", "_fd", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s", "_unsent",
-        "_watching",
+        "_events", "_fd", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
+        "_unsent", "_watching",
     )  # fmt: skip
 
     def __init__(
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -19,7 +19,7 @@
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.net.downstream.listener import ClientListener
 from indigokeel.net.upstream import DescriptorLeakDetector
-from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.net.upstream.client import UpstreamClient, UpstreamClientOptions
 from indigokeel.process.admin_service import FIRST_LIST_TIMEOUT_S, AdminService
 from indigokeel.process.connection_budget import ConnectionBudget
 from indigokeel.process.counter_report import CounterReport
@@ -87,15 +87,14 @@
     def _make_upstream_client(self, config: Config, budget: ConnectionBudget) -> UpstreamClient:
         limits = config.settings.limits
         prices = config.settings.prices
-        return UpstreamClient(
-            self._coordinator,
-            self._counters,
-            limits.connect_timeout,
-            limits.keepalive,
-            budget.upstreams,
-            config.seed,
-            warm=prices.connection <= 0.0 and prices.handshake <= 0.0,
+        options = UpstreamClientOptions(
+            connect_timeout_s=limits.connect_timeout,
+            keepalive_s=limits.keepalive,
+            max_connections=budget.upstreams,
+            seed=config.seed,
+            preconnects=prices.connection <= 0.0 and prices.handshake <= 0.0,
         )
+        return UpstreamClient(self._coordinator, self._counters, options)
 
     def _make_discovery(self, config: Config) -> DiscoveryClient:
         feed = self._endpoint_feed
@@ -185,7 +184,7 @@
         if not self._discovery.pushed:
             self._endpoint_feed.apply_cached()
             return
-        # What the agent pushes binds from the first moment: the cached list is used only once the agent has
+        # What the agent pushes binds from the start: the cached list is used only once the agent has
         # answered, or has been silent for a while. Until then requests wait for an upstream.
         self._supervisor.keep_running("watch", self._discovery.watch)
         loop.call_later(FIRST_LIST_TIMEOUT_S, self._endpoint_feed.apply_cached)
@@ -294,5 +293,5 @@
 
 
 async def serve(config: Config, listener: socket.socket) -> None:
-    """Run one sidecar until it is told to end."""
+    """Run one sidecar until a signal ends it."""
     await Sidecar(config).run(listener)
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -26,7 +26,7 @@
 from indigokeel.net.errors import Meaning
 from indigokeel.net.messages import OutboundRequest
 from indigokeel.net.upstream import ConnectFailure, UpstreamConnection
-from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.net.upstream.client import UpstreamClient, UpstreamClientOptions
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Request
 from tests import peers
@@ -180,7 +180,11 @@
     coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
 
     async def inside() -> Any:
-        return await work(UpstreamClient(coordinator, counters, 0.25, 30.0, 32), coordinator, counters)
+        return await work(
+            UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 32)),
+            coordinator,
+            counters,
+        )
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         found = runner.run(inside())
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -16,7 +16,7 @@
 from indigokeel.endpoints.endpoint_list import parse_endpoint_list
 from indigokeel.metrics import Counters
 from indigokeel.net.messages import OutboundRequest
-from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.net.upstream.client import UpstreamClient, UpstreamClientOptions
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Request
 from tests import peers
@@ -54,7 +54,7 @@
 def test_health_check(answer: bytes | None, found: tuple[AttemptOutcome, dict[str, float] | None]) -> None:
     upstream = peers.Peer(lambda message: b"!" + answer if answer else None)
     coordinator = coordinator_of(upstream.port)
-    client = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 8)
+    client = UpstreamClient(coordinator, Counters("t"), UpstreamClientOptions(0.25, 30.0, 8))
     assert asyncio.run(client.check_health("s-0")) == found
     assert upstream.got[0].line == "GET /_load HTTP/1.1"
     upstream.close()
@@ -78,7 +78,7 @@
 
     async def run() -> list[AttemptOutcome]:
         coordinator = coordinator_of(upstream.port)
-        client = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
+        client = UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 8))
         outcomes = []
         for number in range(5):
             assert (await client.check_health("s-0"))[0] is AttemptOutcome.OK
@@ -100,7 +100,7 @@
     upstream = peers.Peer(lambda message: peers.ok(body))
     coordinator = coordinator_of(upstream.port)
     counters = Counters("t")
-    client = UpstreamClient(coordinator, counters, 0.25, 30.0, 8)
+    client = UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 8))
     assert asyncio.run(client.check_health("s-0")) == (AttemptOutcome.OK, None)
     assert counters["upstream_health_checks_without_report"] == counters["upstream_health_check_ok"] == 1
     upstream.close()
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -12,7 +12,7 @@
 from indigokeel.endpoints.endpoint_list import parse_endpoint_list
 from indigokeel.metrics import Counters
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
-from indigokeel.net.upstream.client import UpstreamClient
+from indigokeel.net.upstream.client import UpstreamClient, UpstreamClientOptions
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Request
 from tests import peers
@@ -34,7 +34,7 @@
         server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         coordinator = coordinator_of(port)
-        client = UpstreamClient(coordinator, Counters("t"), 0.25, 30.0, 64)
+        client = UpstreamClient(coordinator, Counters("t"), UpstreamClientOptions(0.25, 30.0, 64))
         outbound = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
         for number in range(60):
             now = time.monotonic()
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -147,7 +147,9 @@
 
         async def inside() -> None:
             client = upstream_client.UpstreamClient(
-                self.coordinator, Counters("t"), CONNECT_TIMEOUT_S, 30.0, 8
+                self.coordinator,
+                Counters("t"),
+                upstream_client.UpstreamClientOptions(CONNECT_TIMEOUT_S, 30.0, 8),
             )
             if kind == "kept":  # on a connection that is idle
                 await self.attempt(client, "before")
@@ -223,7 +225,9 @@
 def test_attempt_started_after_its_deadline_acquires_no_connection(process: Process) -> None:
     async def inside() -> int:
         client = upstream_client.UpstreamClient(
-            process.coordinator, Counters("t"), CONNECT_TIMEOUT_S, 30.0, 8
+            process.coordinator,
+            Counters("t"),
+            upstream_client.UpstreamClientOptions(CONNECT_TIMEOUT_S, 30.0, 8),
         )
         attempt = process.open_attempt("late")
         process.now += BUDGET_S
