--- a/indigokeel/balancing/events.py
+++ b/indigokeel/balancing/events.py
@@ -1,8 +1,7 @@
 """The events that the balancer is handed, as values.
 
 All times are seconds; the clock is monotonic and has an arbitrary origin. Nobody changes an event after it
-was handed over; events are not frozen, because creating a frozen dataclass takes three times as long.
-"""
+was handed over; events are not frozen, because creating a frozen dataclass takes three times as long."""
 
 from __future__ import annotations
 
@@ -72,7 +71,7 @@
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """A message of discovery: a change, a whole list, or the word that a call failed."""
+    """A message of discovery: a change, a whole list, or a failed call."""
 
     kind: UpdateKind
     members: tuple[Member, ...] = ()
@@ -102,7 +101,7 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of one Send. ``final``: the request is over, by this outcome or before."""
+    """The one outcome of one attempt. ``final``: the request is over, by this outcome or before."""
 
     id: str
     upstream: str
@@ -115,21 +114,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client is gone: the request is over, nothing more is owed."""
+    """The client disconnected: the request is over and needs no answer."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that this instance has set is due."""
+    """A timer that this balancer ordered fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """The result of one Probe."""
+    """The result of one health check."""
 
     upstream: str
     outcome: AttemptOutcome
@@ -137,12 +136,12 @@
     load: LoadReport | None = None
 
 
-LAG_SAMPLE_INTERVAL_S = 0.05  # s between two of the next
+LAG_SAMPLE_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
 class LagSampled:
-    """How late the process itself runs, in seconds; sampled at a steady interval as far as it can."""
+    """The lag of the sidecar's event loop in seconds, sampled every ``LAG_SAMPLE_INTERVAL_S``."""
 
     seconds: float
 
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -78,7 +78,7 @@
     server = await asyncio.start_server(LateUpstream(late).serve, "127.0.0.1", 0)
     coordinator = coordinator_of(server.sockets[0].getsockname()[1])
     counters = Counters("t")
-    client = UpstreamClient(coordinator, counters, 5.0, 30.0, 64)
+    client = UpstreamClient(coordinator, counters, UpstreamClientOptions(5.0, 30.0, 64))
     responses: list[UpstreamResponse] = []
     both_ended = asyncio.Event()
 
