--- a/indigokeel/net/downstream/flow_control.py
+++ b/indigokeel/net/downstream/flow_control.py
@@ -33,8 +33,7 @@
 class RequestBodyGate(Protocol):
     """Tells whether a streamed request body holds up the parsing of what is behind it."""
 
-    def is_blocked(self) -> bool:
-        """Return whether the body has to be forwarded, or its request started, before more is parsed."""
+    is_blocked: bool  # the body has to be forwarded, or its request started, before more is parsed
 
 
 class ReadFlow:
@@ -129,7 +128,7 @@
 
     def _is_blocked(self) -> bool:
         """Return whether parsed input has to be dealt with before more is parsed."""
-        return self._body_gate.is_blocked() or self.error_pause or self._pipeline.is_full()
+        return self._body_gate.is_blocked or self.error_pause or self._pipeline.is_full()
 
     def regulate(self) -> None:
         """Read, parse or pause, as the pipeline allows."""
--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -148,9 +148,8 @@
         if retry_after_s is None:
             self._admitted = True  # it is not asked for again once it is parsed
             return False
-        self._counters.add("requests_shed_early")
         self.exchange.begin(keep_alive=True)
-        self.send_final_response(FinalResponse(FinalStatus.REJECTED, retry_after_s))
+        self._shed(retry_after_s)
         return True
 
     def _accept(self, arrived_at: float, received: ReceivedRequest, admitted: bool) -> None:
@@ -164,28 +163,29 @@
         budget_s = request.budget - waited_s
         if self._handler.is_open(request.id):
             self.exchange.respond_error(RequestError(409, "a job of this id is open"))
-        elif budget_s <= min(RESPONSE_MARGIN_S, request.budget * _MAX_MARGIN_RATIO):
+            return
+        if budget_s <= min(RESPONSE_MARGIN_S, request.budget * _MAX_MARGIN_RATIO):
             # It waited behind others on its connection, for which no upstream is to blame.
             self._counters.add("requests_out_of_time")
             self.send_final_response(FinalResponse(FinalStatus.REJECTED))
-        elif not admitted and self._shed(now, request.class_name, budget_s):
             return
-        else:
-            self._counters.add("requests_accepted")
-            self.input.flow.reset_errors()
-            self.exchange.on_accepted(request.id)
-            request.budget = budget_s
-            request.waited = waited_s
-            self._handler.handle_request(self._connection(), now, request, received.outbound)
-
-    def _shed(self, now: float, class_name: str, budget_s: float) -> bool:
-        """Reject a request if the sidecar sheds load; return whether it does."""
-        retry_after_s = self._handler.shed_early(self._connection(), now, class_name, budget_s)
-        if retry_after_s is None:
-            return False
+        connection = self._connection()
+        if not admitted:
+            retry_after_s = self._handler.shed_early(connection, now, request.class_name, budget_s)
+            if retry_after_s is not None:
+                self._shed(retry_after_s)
+                return
+        self._counters.add("requests_accepted")
+        self.input.flow.reset_errors()
+        self.exchange.on_accepted(request.id)
+        request.budget = budget_s
+        request.waited = waited_s
+        self._handler.handle_request(connection, now, request, received.outbound)
+
+    def _shed(self, retry_after_s: float) -> None:
+        """Reject a request because the sidecar sheds load."""
         self._counters.add("requests_shed_early")
         self.send_final_response(FinalResponse(FinalStatus.REJECTED, retry_after_s))
-        return True
 
     # --- responses ------------------------------------------------------------------------------------
 
--- a/indigokeel/net/downstream/request_input.py
+++ b/indigokeel/net/downstream/request_input.py
@@ -62,7 +62,10 @@
 
     def active_stream(self) -> RequestStream | None:
         """Return the body that is being read for the request in service, if it is streamed."""
-        return self.parser.request_stream if self._receiver.streamed_request is None else None
+        request_stream = self.parser.request_stream
+        if request_stream is None or self._receiver.holds_streamed_request():
+            return None
+        return request_stream
 
     def take_streamed_request(self) -> ReceivedRequest | None:
         """Return the streamed request that waits for its turn, if there is one, and stop holding it."""
@@ -92,7 +95,7 @@
 
         The error is not reported if it lies within a request that has its response.
         """
-        self._receiver.streamed_request = None
+        self._receiver.take_streamed_request()
         # A raised error refers to its traceback's frames; a new one keeps nothing alive.
         self.read_error = None if self.parser.answered else RequestError(error.status, str(error))
         self.flow.stop()
--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -38,25 +38,33 @@
     before that.
     """
 
-    __slots__ = ("_events", "_pipeline", "_stream_full", "_timeouts", "streamed_request")
+    __slots__ = ("_events", "_pipeline", "_stream_full", "_streamed_request", "_timeouts", "is_blocked")
 
     def __init__(self, events: ReceiverEvents, pipeline: Pipeline, timeouts: ClientTimeouts) -> None:
         self._events = events
         self._pipeline = pipeline
         self._timeouts = timeouts
         self._stream_full = False  # the streamed body has to be forwarded before more of it is read
-        self.streamed_request: ReceivedRequest | None = None
+        self._streamed_request: ReceivedRequest | None = None
+        self.is_blocked = False  # the streamed body holds up the parsing of what is behind it
 
-    def is_blocked(self) -> bool:
-        """Return whether the streamed body holds up the parsing of what is behind it."""
-        return self._stream_full or self.streamed_request is not None
+    def holds_streamed_request(self) -> bool:
+        """Return whether a streamed request waits for its turn."""
+        return self._streamed_request is not None
 
     def take_streamed_request(self) -> ReceivedRequest | None:
-        """Return the streamed request that waits for its turn, if there is one, and stop to hold it."""
-        received = self.streamed_request
-        self.streamed_request = None
+        """Return the streamed request that waits for its turn, if there is one, and stop holding it."""
+        received = self._streamed_request
+        if received is not None:
+            self._update_blocking(None, self._stream_full)
         return received
 
+    def _update_blocking(self, streamed_request: ReceivedRequest | None, stream_full: bool) -> None:
+        """Change what holds up parsing."""
+        self._streamed_request = streamed_request
+        self._stream_full = stream_full
+        self.is_blocked = stream_full or streamed_request is not None
+
     # --- parser events --------------------------------------------------------------------------------
 
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
@@ -87,14 +95,14 @@
     def on_stream_started(self, received: ReceivedRequest) -> None:
         """Hold a request whose body is streamed until its turn."""
         received.outbound.left = self._events.has_disconnected
-        self.streamed_request = received
+        self._update_blocking(received, self._stream_full)
 
     def on_stream_ended(
         self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
     ) -> None:
         """Handle the last byte of a streamed body."""
         self._timeouts.restart(time.monotonic())
-        if self.streamed_request is not None:
+        if self._streamed_request is not None:
             self._queue_whole(request_stream, received, keep_alive)
         else:
             self._events.on_stream_ended(request_stream, keep_alive)
@@ -106,20 +114,19 @@
         received.outbound.body = request_stream.all()
         received.outbound.request_stream = None
         received.request.long = False
-        self.streamed_request = None
-        self._stream_full = False
+        self._update_blocking(None, stream_full=False)
         self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
 
     # --- source of the streamed body ------------------------------------------------------------------
 
     def pause(self) -> None:
         """Read nothing until the streamed body has been forwarded."""
-        self._stream_full = True
+        self._update_blocking(self._streamed_request, stream_full=True)
         self._events.regulate_reading()
 
     def resume(self) -> None:
         """Read more of the streamed body."""
-        self._stream_full = False
+        self._update_blocking(self._streamed_request, stream_full=False)
         self._events.regulate_reading()
 
     def has_disconnected(self) -> bool:
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -358,3 +358,15 @@
         assert asyncio.run(play())() is None
     finally:
         gc.enable()
+
+
+def test_connection_that_never_comes_up_is_freed_without_the_garbage_collector() -> None:
+    gc.disable()
+    try:
+        connection = ClientConnection(Handler(), Counters("t"))
+        found = weakref.ref(connection)
+        dispatcher = weakref.ref(connection._dispatcher)
+        del connection
+        assert found() is None and dispatcher() is None
+    finally:
+        gc.enable()
