--- a/benchmarks/pick.py
+++ b/benchmarks/pick.py
@@ -114,7 +114,7 @@
             ]
             spread = statistics.stdev(differences) / len(differences) ** 0.5 if seeds > 1 else 0.0
             print(
-                f"{upstreams} nodes, {rate} jobs/s: "
+                f"{upstreams} upstreams, {rate} requests/s: "
                 + ", ".join(
                     f"{kind} {statistics.median(f['us'] for f in found):.0f} us, imbalance "
                     f"{statistics.fmean(f['imbalance'] for f in found):.3f}"
@@ -143,7 +143,9 @@
             print(json.dumps({"nodes": upstreams, "rates": options.rates, "found": row}))
         else:
             print(
-                f"{upstreams:5} nodes: " + " / ".join(f"{found['us']:6.1f}" for found in row) + " us a job",
+                f"{upstreams:5} upstreams: "
+                + " / ".join(f"{found['us']:6.1f}" for found in row)
+                + " us a request",
                 flush=True,
             )
 
--- a/indigokeel/balancing/selection_index.py
+++ b/indigokeel/balancing/selection_index.py
@@ -62,6 +62,7 @@
         self.open_attempts = 0
 
     def copy_from(self, upstream: UpstreamState) -> None:
+        """Take the present figures of an upstream."""
         self.reporting = int(upstream.rate >= 0.0)
         if self.reporting:
             self.rate = int(upstream.rate / upstream.relative_capacity * _FIXED_POINT_UNIT)
--- a/tests/test_cycles.py
+++ b/tests/test_cycles.py
@@ -1,4 +1,4 @@
-"""Upstreams that come and go for hours leave the books where they were. The clock is passed in."""
+"""Endpoints that come and go for hours do not make the state grow. The clock is passed in."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.conftest import make_settings
 
 
-def held(root: object) -> int:
+def count_objects(root: object) -> int:
     """How many objects of its own ``root`` keeps alive."""
     seen = {id(root)}
     left: list[object] = [root]
@@ -33,7 +33,7 @@
     return len(seen)
 
 
-def test_nodes_come_and_gone_leave_the_books_where_they_were() -> None:
+def test_replaced_upstreams_do_not_make_the_state_grow() -> None:
     """Every cycle replaces each of 30 upstreams by one of a new name, in a pod of a new number, at an address
     that another had; requests are served, fail, time out and are left meanwhile, and the watch breaks."""
     random, now = Random(7), 1000.0
@@ -82,6 +82,6 @@
         coordinator.tick(now)
         if cycle in (60, 159):
             gc.collect()
-            sizes.append(held(coordinator))
+            sizes.append(count_objects(coordinator))
     assert coordinator.unanswered == 0
     assert sizes[1] < sizes[0] * 1.05, sizes
--- a/tests/unit/balancing/test_early_admission.py
+++ b/tests/unit/balancing/test_early_admission.py
@@ -16,7 +16,7 @@
 
 
 def admitted_ratio(driver: Driver, class_name: str, budget: float = 1.5) -> float:
-    """The part of a class that is not turned away at the door, of 500; those let in are served."""
+    """Return the part of 500 requests of a class that is admitted; those are served."""
     taken = 0
     for _ in range(500):
         if driver.balancer.shed_early(driver.now, class_name, budget) is None:
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("late", [AttemptOutcome.TIMED_OUT, AttemptOutcome.BROKEN])
 def test_lateness_sheds_the_lowest_value_first(driver: Driver, late: AttemptOutcome) -> None:
-    """Found on overloaded days: a jam of late answers feeds itself through the clients' retries. And on days
-    with resets: shedding for those took a fifth of the work from a fleet that had room."""
+    """Late answers lead to retries by clients, so they must cause shedding; errors must not, because the
+    fleet then still has capacity."""
     refused = {"view": 0, "pay": 0}
     for number in range(200):
         driver.now += 0.05
@@ -37,8 +37,7 @@
 
 @pytest.mark.parametrize(("priority_weight", "spared"), [(0.1, True), (1.0, False)])
 def test_tenant_over_its_quota_is_shed_first(priority_weight: float, spared: bool) -> None:
-    """Found on calm days of 200 sidecars: one tenant's burst, ten times its share, had a quarter of the other
-    tenant's requests refused or late."""
+    """The burst of one tenant does not cause the requests of another to be rejected or late."""
     tenants = (TenantSettings("loud", quota=20.0), TenantSettings("quiet", quota=10.0))
     driver = Driver(make_settings(tenants=tenants, over_quota_weight=priority_weight), make_members(6))
     refused, asked = {"loud": 0, "quiet": 0}, {"loud": 0, "quiet": 0}
--- a/tests/unit/balancing/test_open_requests.py
+++ b/tests/unit/balancing/test_open_requests.py
@@ -37,7 +37,7 @@
 def test_attempt_times_out_at_the_objective_where_late_answers_have_no_value(
     late_weight: float, timeout: float
 ) -> None:
-    """Found on a day with a slow fleet: it worked on answers nobody counted, until all came late."""
+    """A slow fleet must not work on answers without value."""
     driver = Driver(make_settings(classes=(replace(UNSAFE, late_weight=late_weight),)), make_members(2))
     name, actions = driver.request("pay", budget=1.5)
     assert sends(actions)[0].timeout == timeout
@@ -50,7 +50,7 @@
     driver = Driver(make_settings(), ())
     name, actions = driver.request(budget=0.5)
     timer = of(actions, SetTimer)[0]
-    assert not sends(actions) and timer.delay < 0.25  # nothing was tried: told while there is time elsewhere
+    assert not sends(actions) and timer.delay < 0.25  # answered while the client can still go elsewhere
     assert [s.id for s in sends(driver.news(make_members(2)))] == [name]
     driver = Driver(make_settings(), ())
     name, actions = driver.request("pay", budget=0.5)
--- a/tests/unit/balancing/test_outlier_ejection.py
+++ b/tests/unit/balancing/test_outlier_ejection.py
@@ -25,8 +25,8 @@
 
 
 def test_occasional_failures_cause_no_ejection(driver: Driver) -> None:
-    """Found on days with spoilt answers from all alike: each ejection sent keys to upstreams that had
-    not met them, and the fleet jammed."""
+    """An ejection moves keys to upstreams that do not have them cached, so errors that are common to all
+    upstreams cause none."""
     driver.serve(100)
     for _ in range(60):
         _, actions = driver.request("pay")
@@ -35,11 +35,11 @@
         driver.serve(30)
 
 
-@pytest.mark.parametrize(("served_since", "quarantined"), [(True, False), (False, True)])
+@pytest.mark.parametrize(("served_since", "ejected"), [(True, False), (False, True)])
 def test_timeouts_of_an_upstream_that_serves_others_cause_no_ejection(
-    driver: Driver, served_since: bool, quarantined: bool
+    driver: Driver, served_since: bool, ejected: bool
 ) -> None:
-    """Found on a day with two dead machines: the others were full, and were quarantined one after another."""
+    """An overloaded upstream times out, too, but is not to be ejected."""
     driver.serve(100)
     bad = make_members(6)[0].id
     logs = []
@@ -52,7 +52,7 @@
         served = served_since and other.upstream == bad
         if outcome is AttemptOutcome.OK or served or not served_since:
             logs += of(driver.end(stuck, outcome, elapsed=0.5), LogMessage)
-    assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is quarantined
+    assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is ejected
 
 
 @pytest.mark.parametrize(
@@ -61,8 +61,8 @@
 def test_ejection_for_timeouts_ends_with_an_answer(
     driver: Driver, outcome: AttemptOutcome, ends: bool
 ) -> None:
-    """Found on a day with a release: a pause of 0.17 s put the largest upstream aside everywhere, for 2 s
-    in which the others had no room. One that fails and answers in turn is not trusted by one answer."""
+    """A short pause of an upstream must not remove its capacity for seconds. After errors one answer is not
+    enough."""
     driver.serve(100)
     bad = make_members(6)[0].id
     waiting: list[SendAttempt] = []
--- a/tests/unit/balancing/test_rejection_sampling.py
+++ b/tests/unit/balancing/test_rejection_sampling.py
@@ -29,8 +29,8 @@
 
 @pytest.mark.parametrize("known", [100, 70])
 def test_odds_equal_those_of_the_weighted_choice_among_all(known: int) -> None:
-    """Chi-square of 20,000 picks against the slices of docs/design.md; upstreams without a report earn the
-    average slice."""
+    """Chi-square of 20,000 choices against the weights of docs/design.md; upstreams without a report get the
+    average weight."""
     rates = [5.0 + 3.0 * (i % 20) for i in range(100)]
     driver = known_fleet(100, rates)
     if known < 100:  # the reports of some fall out of the window
@@ -79,5 +79,5 @@
     driver.news(cold)
     got = picks(driver, 6000)
     new = sum(got.get(m.id, 0) for m in cold)
-    # At random among all, the cold by their ramp: 10 of 110 at 0.3 of a part each.
+    # At random among all, those that warm up by their warm-up weight: 10 of 110 at 0.3 of a part each.
     assert len(got) > 100 and 0.3 < new / (6000 * 3.0 / 103.0) < 1.6
--- a/tests/unit/balancing/test_retry_policy.py
+++ b/tests/unit/balancing/test_retry_policy.py
@@ -45,7 +45,7 @@
 
 
 def test_retry_budget_runs_out(driver: Driver) -> None:
-    """Found on the first full score: sending again after every refusal jams a fleet (retry storm)."""
+    """Retries of every rejected request would cause a retry storm."""
     further = 0
     for _ in range(100):
         _, actions = driver.request()
--- a/tests/unit/balancing/test_rules.py
+++ b/tests/unit/balancing/test_rules.py
@@ -73,7 +73,7 @@
         limits = Limits(max_attempts=MOST, hedging=copies, health_checks=True)
         self.now = 500.0
         self.members = {m.id: m for m in make_members(6)}
-        self.told_off: dict[str, float] = {}
+        self.drained_at: dict[str, float] = {}
         self.asked: dict[str, Asked] = {}
         self.timers: list[tuple[float, int]] = []
         self.balancer = Balancer(
@@ -85,15 +85,15 @@
             ),
             seed,
         )
-        self.tell(MembershipUpdate(UpdateKind.CACHED, tuple(self.members.values())))
+        self.hand(MembershipUpdate(UpdateKind.CACHED, tuple(self.members.values())))
 
-    def tell(self, event: Event) -> None:
+    def hand(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            self.judge(action)
+            self.check(action)
 
-    def judge(self, action: Action) -> None:
+    def check(self, action: Action) -> None:
         if isinstance(action, SendAttempt):
-            self.judge_send(action)
+            self.check_send(action)
         elif isinstance(action, RejectRequest | FailRequest):
             asked = self.asked[action.id]
             assert not asked.over, "a second final answer"
@@ -110,12 +110,12 @@
         elif isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay, action.token))
 
-    def judge_send(self, action: SendAttempt) -> None:
+    def check_send(self, action: SendAttempt) -> None:
         asked, member = self.asked[action.id], self.members.get(action.upstream)
         assert not asked.over, "sent after the end"
-        assert member is not None or action.upstream in self.told_off, "an upstream no list named"
-        off = self.told_off.get(action.upstream)
-        assert off is None or self.now <= off + GRACE, "sent to an upstream told off"
+        assert member is not None or action.upstream in self.drained_at, "an upstream no list named"
+        off = self.drained_at.get(action.upstream)
+        assert off is None or self.now <= off + GRACE, "sent to a draining upstream"
         assert len(asked.sent) < MOST, "too many attempts"
         assert self.copies or all(sent.outcome is not None for sent in asked.sent), "two at once"
         doubtful = [sent for sent in asked.sent if not sent.harmless]
@@ -144,7 +144,7 @@
         number = f"q{len(self.asked)}"
         cls = {"view": SAFE, "order": self.keyed, "pay": UNSAFE}[name]
         self.asked[number] = Asked(cls, self.now + budget)
-        self.tell(RequestArrived(number, name, budget, key="k1"))
+        self.hand(RequestArrived(number, name, budget, key="k1"))
 
     def out(self) -> list[tuple[str, int]]:
         return [(n, i) for n, a in self.asked.items() for i, s in enumerate(a.sent) if s.outcome is None]
@@ -157,7 +157,7 @@
             asked.over, asked.answers = True, asked.answers + 1
         load = LoadReport(rate=20.0, utilisation=0.5) if outcome is AttemptOutcome.OK else None
         elapsed = self.now - sent.at
-        self.tell(AttemptEnded(name, sent.upstream.id, number, outcome, elapsed, asked.over, load))
+        self.hand(AttemptEnded(name, sent.upstream.id, number, outcome, elapsed, asked.over, load))
 
     @precondition(lambda self: bool(self.asked) and bool(self.out()))
     @rule(data=st.data())
@@ -172,7 +172,7 @@
         name = data.draw(st.sampled_from([n for n, a in self.asked.items() if not a.over]))
         self.asked[name].over = True
         self.asked[name].answers += 1
-        self.tell(ClientDisconnected(name))
+        self.hand(ClientDisconnected(name))
 
     @rule(data=st.data(), state=st.sampled_from(list(EndpointState)))
     def news(self, data: st.DataObject, state: EndpointState) -> None:
@@ -181,24 +181,24 @@
         if state is EndpointState.SERVING:
             started = data.draw(st.sampled_from([0.0, self.now, self.now - 3.0]))
             member = replace(member, started=started)
-            self.told_off.pop(name, None)
+            self.drained_at.pop(name, None)
         else:
             member = replace(member, state=state)
-            self.told_off.setdefault(name, self.now)
+            self.drained_at.setdefault(name, self.now)
         self.members[name] = member
-        self.tell(MembershipUpdate(UpdateKind.DELTA, (member,)))
+        self.hand(MembershipUpdate(UpdateKind.DELTA, (member,)))
 
     @rule()
     def fleet_drains(self) -> None:
         drained = tuple(replace(m, state=EndpointState.DRAINING) for m in make_members(6))
         for member in drained:
             self.members[member.id] = member
-            self.told_off.setdefault(member.id, self.now)
-        self.tell(MembershipUpdate(UpdateKind.FULL, drained))
+            self.drained_at.setdefault(member.id, self.now)
+        self.hand(MembershipUpdate(UpdateKind.FULL, drained))
 
     @rule()
     def discovery_fails(self) -> None:
-        self.tell(MembershipUpdate(UpdateKind.FAILED))
+        self.hand(MembershipUpdate(UpdateKind.FAILED))
 
     @rule(step=st.sampled_from([0.005, 0.05, 0.4, 1.1]))
     def time_passes(self, step: float) -> None:
@@ -214,7 +214,7 @@
             self.now = max(self.now, at)
             if kind == 0:
                 self.timers.remove((at, number))
-                self.tell(TimerFired(number))
+                self.hand(TimerFired(number))
             else:
                 self.end(name, number, AttemptOutcome.TIMED_OUT)
         self.now = until
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -272,7 +272,7 @@
 
 @pytest.mark.parametrize(("name", "sidecars"), TABLE)
 def test_no_cold_upstream_gets_what_it_falls_over_at(name: str, sidecars: int) -> None:
-    """Found with the slices alone: up to 17 times the budget with two sidecars, and 1.5 times with 230."""
+    """All attempts of all sidecars together stay within the budget of every warming-up upstream."""
     scenario = FLEETS[name] if name in FLEETS else LARGE[name][0]
     fleet = Fleet(replace(scenario, sidecars=sidecars), seed=1)
     fleet.run()
--- a/tests/unit/balancing/test_subsetting.py
+++ b/tests/unit/balancing/test_subsetting.py
@@ -10,7 +10,7 @@
 
 
 def test_zones_are_used_in_proportion_to_their_size() -> None:
-    """Found on a full-size day: taking zones in turn crowded the servers of a small zone."""
+    """Zones used in turn would overload the servers of a small zone."""
     members = tuple(replace(m, zone="small" if i < 10 else "large") for i, m in enumerate(make_members(60)))
     small = 0
     for me in range(40):
--- a/tests/unit/balancing/test_upstream_selection.py
+++ b/tests/unit/balancing/test_upstream_selection.py
@@ -14,7 +14,7 @@
 
 
 def test_upstream_without_capacity_gets_no_request() -> None:
-    """Aim 0.5 s, usual latency 0.125 s until seen: two may be held, of whichever sidecar they are."""
+    """The objective is 0.5 s and the initial usual latency 0.125 s: two may be held, of any sidecar."""
     for seed in range(20):
         driver = Driver(PROBED, named("a", "b", "c"), seed)
         in_flight(driver, a=9, b=9, c=1)
@@ -23,7 +23,7 @@
         assert send.upstream == "c"
         _, actions = driver.request()  # by its own attempt since, it holds two now
         assert not sends(actions) and [type(action) for action in actions if of([action], RejectRequest)]
-        assert not sends(driver.end(send, AttemptOutcome.ERROR))  # no further attempt where none has room
+        assert not sends(driver.end(send, AttemptOutcome.ERROR))  # no further attempt where none has capacity
         in_flight(driver, a=0, b=9, c=9)
         assert driver.serve(1) == {"a": 1}
 
@@ -36,8 +36,7 @@
 
 
 def test_attempts_that_have_not_arrived_do_not_count_as_in_flight() -> None:
-    """Found on a day of long bodies: three uploads a server were under way, of which it held none, and one
-    request in four was refused."""
+    """While long bodies are under way, their upstream holds no requests yet."""
     driver = Driver(PROBED, named("a"))
     for _ in range(5):
         assert sends(driver.request()[1])
@@ -54,7 +53,7 @@
 
 
 def test_warming_upstreams_do_not_get_the_overflow() -> None:
-    """The warm ones hold all that they can: the cold one gets its own small part and none of theirs."""
+    """While the warm upstreams are full, the one that warms up gets its own small part and none of theirs."""
     driver = Driver(PROBED, (*named("a", "b", "c"), *named("cold", started=1000.0)))
     got: dict[bool, int] = {}
     for full in (False, True):
--- a/tests/unit/balancing/test_weighted_selection.py
+++ b/tests/unit/balancing/test_weighted_selection.py
@@ -22,7 +22,7 @@
 
 
 def test_slow_upstream_with_a_low_rate_is_not_preferred(driver: Driver) -> None:
-    """Found on the first measured days: the lowest rates were those of servers that could do no more."""
+    """The lowest rates are those of servers that can do no more."""
     names = [m.id for m in make_members(6)]
     teach(driver, {n: load(8.0, 0.9) if i == 0 else load(30.0, 0.7) for i, n in enumerate(names)})
     got = picks(driver)
@@ -37,10 +37,10 @@
 
 
 def test_one_or_two_reports_filter_nobody_out() -> None:
-    """Found on zone days of 200 sidecars, each of which hears of an upstream every few seconds: requests with
-    a key left the upstreams that had it warm, and the fleet got less done than without any reports."""
+    """With many sidecars each gets a report of an upstream only every few seconds; filtering by one of them
+    would move requests with a key off the upstreams that have it cached."""
     names = [m.id for m in make_members(6)]
-    for reports, struck in ((1, False), (2, False), (20, True)):
+    for reports, filtered in ((1, False), (2, False), (20, True)):
         driver = Driver(make_settings(), make_members(6))
         left = dict.fromkeys(names, 20) | {names[0]: reports}
         for _ in range(600):
@@ -50,7 +50,7 @@
             left[send.upstream] -= 1
             busy = 0.99 if send.upstream == names[0] else 0.6
             driver.end(send, load=load(20.0, busy) if left[send.upstream] >= 0 else None)
-        assert (names[0] not in picks(driver)) == struck
+        assert (names[0] not in picks(driver)) == filtered
 
 
 def test_choice_is_random_when_over_half_are_busy(driver: Driver) -> None:
@@ -90,7 +90,7 @@
 
 
 def test_warming_upstreams_do_not_get_the_traffic_of_busy_warm_ones() -> None:
-    """Found on an overload day: half the fleet was busy, the other half cold and without reports."""
+    """Half of the fleet is busy, the other half warms up and has not reported."""
     members = make_members(4)
     driver = Driver(make_settings(), members)
     teach(driver, {m.id: load(20.0, 1.0) for m in members[:2]})
@@ -101,7 +101,7 @@
 
 
 def test_choice_is_random_when_few_warm_upstreams_are_available() -> None:
-    """Found on a small overload day: one warm and one cold were left of eight, and shared all traffic."""
+    """One warm upstream and two that warm up must not share all traffic."""
     members = make_members(6)
     driver = Driver(make_settings(), members)
     teach(driver, {m.id: load(20.0, 1.0 if i < 3 else 0.5) for i, m in enumerate(members[:4])})
