--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,8 +51,8 @@
         self.starts: dict[str, float] = {}  # of those that began cold
         self.sends: dict[
             str, list[float]
-        ] = {}  # when each upstream was sent something, by those told of its start
-        self.told: set[int] = set()
+        ] = {}  # when each upstream was sent something, by those informed of its start
+        self.informed: set[int] = set()
         self.used: list[Counter[str]] = [Counter() for _ in range(sidecars)]
         self.watches: list[tuple[float, int]] = []  # calls for the list
         self._wound = [math.inf] * sidecars  # when each is to be ticked next
@@ -111,7 +111,7 @@
 
     def begin(self, me: int, attempt: Attempt) -> None:
         self.used[me][attempt.upstream] += 1
-        if me in self.told:
+        if me in self.informed:
             self.sends.setdefault(attempt.upstream, []).append(self.now)
         if attempt.upstream in self.dead:
             lost = AttemptOutcome.NO_CONNECTION
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("how", ["six in ten replaced", "a third lost and back"])
 def test_no_cold_node_is_pushed_over_by_all_together(how: str) -> None:
-    """Forty sidecars that share nothing, each told at a time of its own, the load uneven."""
+    """Forty sidecars that share nothing, each informed at its own time, under uneven load."""
     fleet = Fleet()
     fleet.traffic(uneven(1.0 * RATE * NODES), 1016.0)
     fleet.run(1004.0)
@@ -213,7 +213,7 @@
     news = [*back, *(replace(m, state=EndpointState.GONE) for m in gone if replaced)]
 
     def tell(me: int) -> None:
-        fleet.told.add(me)
+        fleet.informed.add(me)
         fleet.tell(me, EndpointList(2, False, tuple(news)))
 
     for me in range(SIDECARS):
