--- a/tests/unit/balancing/test_selection_index.py
+++ b/tests/unit/balancing/test_selection_index.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from indigokeel.balancing.events import (
-    EndpointState,
-)
+from indigokeel.balancing.events import EndpointState, LoadReport
+from indigokeel.balancing.selection_index import SelectionIndex
+from indigokeel.balancing.statistics import ShrinkageEstimate
+from indigokeel.balancing.upstream_state import UpstreamState
 from indigokeel.balancing.weighted_selection import BUSY_UTILISATION
 from tests.conftest import Driver, make_members, make_settings, sends
 from tests.support.balancing import load
@@ -39,3 +40,26 @@
             for side, busy in ((index.available, False), (index.busy, True)):
                 assert all((u.utilisation > BUSY_UTILISATION) is busy for u in side.members)
     assert len(index) == 60
+
+
+class EndlessUpdateError(Exception):
+    """A refresh updates one member again and again."""
+
+
+def test_refresh_ends_at_the_instant_at_which_a_report_expires() -> None:
+    """A report is kept at exactly its expiry, and the refresh of that instant takes it for expired."""
+    updates = 0
+
+    def update_weight(now: float, upstream: UpstreamState) -> None:
+        nonlocal updates
+        updates += 1
+        if updates > 1000:
+            raise EndlessUpdateError
+        upstream.average_reports(now)
+
+    index = SelectionIndex(update_weight, BUSY_UTILISATION)
+    upstream = UpstreamState(make_members(1)[0], ShrinkageEstimate(None, 0.05))
+    upstream.record_load_report(1000.0, LoadReport(rate=20.0, utilisation=0.5))
+    index.replace(1000.0, [upstream])
+    index.refresh(upstream.reports.next_expiry())
+    assert updates < 10
