--- a/indigokeel/balancing/events.py
+++ b/indigokeel/balancing/events.py
@@ -1,7 +1,8 @@
 """The events that the balancer is handed, as values.
 
 All times are seconds; the clock is monotonic and has an arbitrary origin. Nobody changes an event after it
-was handed over; events are not frozen, because creating a frozen dataclass takes three times as long."""
+was handed over; events are not frozen, because creating a frozen dataclass takes three times as long.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -27,7 +27,7 @@
 
     def __init__(self, endpoints: list[Endpoint]) -> None:
         super().__init__(sidecars=1, endpoints=endpoints)
-        self.told.add(0)  # so that all sends are kept
+        self.informed.add(0)  # so that all sends are kept
         self.taken: dict[str, float] = {}
 
     def requests(self, count: int, every: float = 0.04) -> list[str]:
