--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -135,7 +135,7 @@
     Row("(refused)", lambda f: f.answers.get("refused", 0), ".0f"),
     Row("(failed)", lambda f: f.answers.get("failed", 0), ".0f"),
     Row("(attempts at upstreams)", lambda f: f.counts.requests, ".0f"),
-    Row("(turned away there)", lambda f: f.counts.turned_away, ".0f"),
+    Row("(rejected there)", lambda f: f.counts.rejected, ".0f"),
     Row("(upstreams used)", lambda f: f.counts.upstreams_used, ".0f"),
     Row("(sent after a drain's grace)", lambda f: f.counts.after_drain, ".0f"),
     Row("(calls of discovery)", lambda f: f.counts.list_calls, ".0f"),
--- a/benchmarks/growth_peers.py
+++ b/benchmarks/growth_peers.py
@@ -1,7 +1,7 @@
 """The stand-ins of the growth benchmark: a fleet of upstreams, and the discovery that lists it.
 
 One process holds both. Each upstream has a listener of its own on a loopback address, a number of slots and
-a waiting room as large; a request beyond them is turned away unseen. Where CAPACITY is positive, an upstream
+a waiting room as large; a request beyond them is rejected unseen. Where CAPACITY is positive, an upstream
 also takes no more than its part of so many requests a second, as one does that serves other sidecars too.
 
 ``python -m benchmarks.growth_peers COUNT SPARE SLOTS CAPACITY`` serves until its standard input ends. It says
@@ -44,7 +44,7 @@
 
     connections: int = 0
     requests: int = 0
-    turned_away: int = 0
+    rejected: int = 0
     after_drain: int = 0  # requests whose first byte came after the drain's grace
     upstreams_used: int = 0
     list_bytes: int = 0
@@ -97,7 +97,7 @@
         self._rate = self._decayed(self._rate) + 1.0 / BUSY_MEMORY
         full = self._serving + len(self._waiting) >= 2 * self.slots
         if self.drained_at < math.inf or full or not self._within_capacity():
-            self.counts.turned_away += 1
+            self.counts.rejected += 1
             connection.answer(b"503 Service Unavailable", b"Not-Started: 1\r\n" + self._report(), b"")
         elif self._serving >= self.slots:
             self._waiting.append(connection)
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -85,7 +85,7 @@
         assert effects == Effects()
 
 
-def test_claim_picked_before_the_cordon_is_not_begun_after_it() -> None:
+def test_attempt_picked_before_the_cordon_is_not_begun_after_it() -> None:
     coordinator = _coordinator()
     attempt = coordinator.pick(NOW, Request("j", "view", 1.0)).attempts[0]
     coordinator.cordon(NOW, attempt.upstream)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_request_that_is_read_after_its_client_left_is_not_sent_on(
+def test_request_read_after_its_client_disconnected_is_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
     """The loop reads the request first, while the end of the stream has arrived behind it."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -105,7 +105,7 @@
         assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
 
-def test_flood_without_an_end_is_told_and_left_and_costs_no_memory(tmp_path: Path) -> None:
+def test_endless_flood_gets_an_error_and_is_closed_and_costs_no_memory(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
         conns = [program.connect() for _ in range(8)]
 
@@ -129,7 +129,7 @@
 
 def test_nothing_that_comes_after_the_own_end_is_taken(tmp_path: Path) -> None:
     """The shutdown ends an idle connection, whose client writes once it reads the end, and then stays.
-    Nothing of that is parsed or sent on, and the shutdown does not wait for the client for good."""
+    Nothing of that is parsed or forwarded, and the shutdown does not wait for the client for good."""
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request())
         file = conn.makefile("rb")
@@ -168,7 +168,7 @@
         request("pay", b"2") + request("pay", LONG_BODY),
     ],
 )
-def test_request_whose_client_left_behind_an_earlier_one_is_not_sent_on(
+def test_request_whose_client_disconnected_behind_an_earlier_one_is_not_forwarded(
     tmp_path: Path, behind: bytes, leave: Callable[[socket.socket], None]
 ) -> None:
     """The event loop does not report that a client has closed while reading is paused."""
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_requests_whose_clients_leave_in_a_burst_are_not_sent_on(
+def test_requests_whose_clients_disconnect_in_a_burst_are_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
     """The requests wait because there is no upstream; one is added after all clients have left."""
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_request_whose_client_left_while_its_connection_came_up_is_not_sent_on(
+def test_request_whose_client_disconnected_while_its_connection_opened_is_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
     settings = {
@@ -321,11 +321,11 @@
             assert program.last_counters()["requests_unanswered"] == 0
 
 
-def test_request_in_the_moment_of_each_step_of_the_end_has_one_answer_or_none_taken(
+def test_request_at_each_step_of_the_shutdown_has_one_answer_or_is_not_accepted(
     tmp_path: Path,
 ) -> None:
     """Clients send and pause in turn through the whole shutdown: each request either has a complete
-    response, or its connection ended and nothing of it was sent on."""
+    response, or its connection ended and nothing of it was forwarded."""
     with running(tmp_path, echo) as (program, (upstream,), _):
         wrong: list[object] = []
         answered: list[bytes] = []
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -27,7 +27,7 @@
 
     def __init__(self, endpoints: list[Endpoint]) -> None:
         super().__init__(sidecars=1, endpoints=endpoints)
-        self.notified.add(0)  # so that all sends are kept
+        self.informed.add(0)  # so that all sends are kept
         self.taken: dict[str, float] = {}
 
     def requests(self, count: int, every: float = 0.04) -> list[str]:
@@ -67,7 +67,7 @@
     assert one.served(first) > 0.9 and one.served(later) > 0.95
 
 
-def test_half_of_the_list_replaced_between_two_picks_with_jobs_in_flight() -> None:
+def test_half_of_the_list_replaced_between_two_picks_with_requests_in_flight() -> None:
     endpoints = [endpoint(number) for number in range(60)]
     one = One(endpoints)
     one.requests(60, every=0.0)  # all in flight
@@ -135,13 +135,13 @@
     listed = tuple(endpoint(number) for number in range(3200))
     coordinator.update_endpoints(1000.0, EndpointList(1, True, listed))
     laid: list[str] = []
-    lay = coordinator.cordons.apply
+    lay = coordinator.cordons.lay
 
     def counted(listed: Endpoint, now: float) -> Endpoint:
         laid.append(listed.name)
         return lay(listed, now)
 
-    monkeypatch.setattr(coordinator.cordons, "apply", counted)
+    monkeypatch.setattr(coordinator.cordons, "lay", counted)
     for number in range(50):
         gone = replace(listed[number], state=EndpointState.DRAINING)
         coordinator.update_endpoints(1000.1, EndpointList(2 + number, False, (gone,)))
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -177,7 +177,7 @@
 
 
 def test_requests_that_ran_out_of_time_behind_another_are_refused_and_never_sent(tmp_path: Path) -> None:
-    """Their budget has run since they arrived. Sent on, they would count as late responses of the
+    """Their budget has run since they arrived. Forwarded, they would count as late responses of the
     upstreams."""
     with running(tmp_path, Held(), Held()) as (program, upstreams, _), program.connect() as conn:
         ahead = b"".join(request("pay", b"x", wait_ms=300) for _ in range(20))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -325,7 +325,7 @@
         until(served)
 
 
-def test_connections_are_bounded_and_those_without_a_job_make_room(tmp_path: Path) -> None:
+def test_connections_are_bounded_and_those_without_a_request_are_evicted(tmp_path: Path) -> None:
     """Found on days with crowds: hundreds connect and say nothing, or ask for health and stay."""
     with running(tmp_path, echo, sockets=40) as (program, _, _d), contextlib.ExitStack() as stack:
         worker = stack.enter_context(program.connect())
