--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -135,13 +135,13 @@
     listed = tuple(endpoint(number) for number in range(3200))
     coordinator.update_endpoints(1000.0, EndpointList(1, True, listed))
     laid: list[str] = []
-    lay = coordinator.cordons.lay
+    lay = coordinator.cordons.apply
 
     def counted(listed: Endpoint, now: float) -> Endpoint:
         laid.append(listed.name)
         return lay(listed, now)
 
-    monkeypatch.setattr(coordinator.cordons, "lay", counted)
+    monkeypatch.setattr(coordinator.cordons, "apply", counted)
     for number in range(50):
         gone = replace(listed[number], state=EndpointState.DRAINING)
         coordinator.update_endpoints(1000.1, EndpointList(2 + number, False, (gone,)))
