--- a/indigokeel/balancing/balancer.py
+++ b/indigokeel/balancing/balancer.py
@@ -54,8 +54,6 @@
 from indigokeel.balancing.warm_up_admission import WarmUpAdmission
 from indigokeel.balancing.weighted_selection import BUSY_UTILISATION, WeightedSelection
 
-check = validate_settings  # the name that config.py imports
-
 
 class Balancer:
     """All decisions of one sidecar."""
--- a/indigokeel/config/loader.py
+++ b/indigokeel/config/loader.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from indigokeel.balancing.balancer import check
 from indigokeel.balancing.settings import Settings
+from indigokeel.balancing.settings_validation import validate_settings
 from indigokeel.config.errors import ConfigError, SettingsError
 from indigokeel.config.reload_check import find_regression
 from indigokeel.config.settings_decoder import decode_settings
@@ -83,7 +83,7 @@
     seed = data.get("seed", "0")
     mgmt = env.get("BALANCER_MGMT") or data.get("mgmt")
     settings = decode_settings(data["settings"])
-    check(settings)
+    validate_settings(settings)
     return Config(
         name=str(env.get("BALANCER_NAME") or data["name"]),
         listen=parse_address(env.get("BALANCER_LISTEN") or data["listen"]),
