--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long measurements, run by hand; their results stand in docs/measurements.md."""
+"""Measurements and comparisons, run by hand; their results are in docs/capacity.md."""
