--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -133,6 +133,7 @@
             answered = False
 
             def answer() -> None:
+                """Record that the call is answered."""
                 nonlocal answered
                 answered = True
                 on_answer()
@@ -251,7 +252,8 @@
         partial = b""  # the lines so far of a message that continues
         has_more = True
         while has_more:
-            *lines, self._unread = self._unread.split(b"\n")
+            *lines, unread = self._unread.split(b"\n")
+            self._unread = unread
             if len(partial) + len(self._unread) > _MAX_MESSAGE_BYTES:
                 raise EndpointListError("a message without an end")
             for line in lines:
--- a/indigokeel/net/upstream/connection_table.py
+++ b/indigokeel/net/upstream/connection_table.py
@@ -71,6 +71,7 @@
         super().__init__({state: {} for state in ConnectionState if state is not ConnectionState.CLOSED})
 
     def total(self) -> int:
+        """Return the number of connections in all states."""
         return sum(map(len, self.values()))
 
 
--- a/indigokeel/process/cordon_store.py
+++ b/indigokeel/process/cordon_store.py
@@ -130,6 +130,7 @@
     done: asyncio.Future[None] = loop.create_future()
 
     def finish(error: OSError | None) -> None:
+        """Pass the result on, in the thread of the loop."""
         if done.done():  # cancelled
             return
         if error is None:
@@ -138,6 +139,7 @@
             done.set_exception(error)
 
     def run() -> None:
+        """Make the call, in the other thread."""
         failure: OSError | None = None
         try:
             call()
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -218,6 +218,7 @@
 
     def _schedule_time_out(self, until: float, request: OpenRequest, number: int) -> None:
         def time_out(now: float, effects: Effects) -> None:
+            """Time the attempt out."""
             self.time_out_attempt(now, request, number, effects)
 
         self._timers.schedule(until, time_out, request)
--- a/indigokeel/requests/timer_queue.py
+++ b/indigokeel/requests/timer_queue.py
@@ -28,6 +28,7 @@
     owner: TimerOwner | None
 
     def is_dropped(self) -> bool:
+        """Return True if the timer's owner is closed."""
         return self.owner is not None and self.owner.closed
 
 
