--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -238,7 +238,7 @@
 
     async def play(self) -> None:
         random, began, due = Random(self.seed), time.monotonic(), 0.0
-        requests = set[asyncio.OutboundRequest[None]]()
+        requests = set[asyncio.Task[None]]()
         number = 0
         while due < self.seconds:
             await asyncio.sleep(max(began + due - time.monotonic(), 0.0))
