--- a/indigokeel/net/downstream/client_connection.py
+++ b/indigokeel/net/downstream/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: the event loop's callbacks, and the parts that they are dispatched to."""
+"""A client connection: the event loop's callbacks, passed on to the parts that handle them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from indigokeel.net import http
 from indigokeel.net.downstream.client_timeouts import AwaitedEvent, ClientTimeouts, ConnectionActivity
 from indigokeel.net.downstream.connection_close import ConnectionClose
-from indigokeel.net.downstream.request_decoder import read_plain
+from indigokeel.net.downstream.request_decoder import scan_plain_request
 from indigokeel.net.downstream.request_dispatcher import RequestDispatcher
 from indigokeel.net.downstream.request_handler import FinalResponse as FinalResponse
 from indigokeel.net.downstream.request_handler import RequestHandler
@@ -24,9 +24,9 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """Dispatch what happens on a client's connection to the parts that handle it.
+    """Pass the events of a client's connection on to the parts that handle them.
 
-    The parts refer to the connection weakly, so that it is freed by reference count as soon as it is lost.
+    The parts refer to the connection weakly, so that reference counting frees it as soon as it is lost.
     """
 
     __slots__ = (
@@ -39,7 +39,7 @@
         "_timeouts",
         "_writer",
         "fd",
-        "heard",
+        "has_received_data",
     )
 
     def __init__(self, handler: Handler, counters: Counters) -> None:
@@ -54,22 +54,22 @@
         self._writer = self._dispatcher.writer
         self._close = ConnectionClose(self._input.flow)
         self.fd = -1
-        self.heard = False  # the client has sent something
+        self.has_received_data = False  # something has arrived from the client
 
     @property
     def busy(self) -> bool:
-        """Whether a request was read completely and its response is not written."""
+        """Whether a request was read completely and its response has not been written yet."""
         return self._dispatcher.exchange.busy
 
     @property
     def ended(self) -> bool:
-        """Whether the last byte was written, or the connection is gone."""
+        """Whether nothing more will be written: the connection is ending or lost."""
         return self._dispatcher.ended
 
     # --- callbacks of the event loop ------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to wait for the first request."""
+        """Set up the parts, register the connection, and wait for the first request."""
         stream_transport = cast(asyncio.Transport, transport)
         self._input.flow.connected(stream_transport)
         self._writer.connected(stream_transport)
@@ -79,16 +79,16 @@
         self._handler.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was read, and serve the requests found."""
+        """Parse the input, and serve the requests in it."""
         request_input = self._input
         if request_input.flow.stopped:
             self._close.discard(data)
             return
         now = time.monotonic()
         arrived_at = request_input.flow.on_read(now)
-        if self.heard and not request_input.parser.in_message:
+        if self.has_received_data and not request_input.parser.in_message:
             self._timeouts.restart(now)
-        self.heard = True
+        self.has_received_data = True
         if self._handler.overloaded and self._dispatcher.is_idle() and self._shed(data):
             return
         request_input.pipeline.append_bytes(data, arrived_at)
@@ -98,13 +98,13 @@
     def _shed(self, data: bytes) -> bool:
         """Reject a complete request without parsing it, if the sidecar sheds load; return whether it does.
 
-        An overloaded sidecar would spend its time on parsing requests that it rejects afterwards.
+        Otherwise an overloaded sidecar would spend its time on parsing requests that it rejects afterwards.
         """
-        plain = read_plain(data)
+        plain = scan_plain_request(data)
         return plain is not None and self._dispatcher.shed_unparsed(plain)
 
     def eof_received(self) -> None:
-        """Treat the end of the client's output as its departure: nothing more is done for it."""
+        """Treat the end of the client's output as a disconnect: its requests are dropped."""
         self._on_disconnected()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -115,26 +115,26 @@
         self._handler.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """Stop a streamed response."""
+        """Pause a streamed response."""
         self._writer.pause()
 
     def resume_writing(self) -> None:
-        """Continue a streamed response, and serve what waited for the output to be accepted."""
+        """Continue a streamed response, and the requests that waited for the output to be accepted."""
         self._writer.resume()
         self._dispatcher.process_pipeline()
 
-    # --- what the connection is doing -----------------------------------------------------------------
+    # --- state of the connection ----------------------------------------------------------------------
 
     def is_idle(self) -> bool:
-        """Return whether the connection awaits the next request, or the first, and has no unread input."""
+        """Return whether the connection waits for its first or next request and has no unread input."""
         return self._dispatcher.is_idle() and not http.readable(self.fd)
 
     def has_unread_input(self) -> bool:
-        """Return whether something has arrived that will be responded to and has not been parsed."""
+        """Return whether input is waiting that will get a response and is not being served yet."""
         return not self.ended and (not self._input.pipeline.is_empty() or http.readable(self.fd))
 
     def has_unwritten_output(self) -> bool:
-        """Return whether a close would lose output now."""
+        """Return whether a close now would lose output."""
         return self._close.has_unwritten_output(self.fd)
 
     def idle_for(self, now: float) -> float:
@@ -150,7 +150,7 @@
         return 0.0 if stalled_s == 0.0 or http.readable(self.fd) else stalled_s
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, as the system tells, and give up its requests if so.
+        """Return whether the operating system reports a disconnect, and if so drop the client's requests.
 
         The event loop may not have read the end of the stream yet.
         """
@@ -163,7 +163,7 @@
     def check_timeouts(self, now: float) -> None:
         """End the connection if the client keeps it waiting for too long; called periodically.
 
-        While reading is paused the event loop does not report that a client has closed, so this asks.
+        While reading is paused, the event loop does not report a disconnect, so the system is asked here.
         """
         if self._input.flow.paused_at and http.hung_up(self.fd):
             self._on_disconnected()
@@ -174,7 +174,7 @@
             self._on_timeout(overdue)
 
     def _activity(self) -> ConnectionActivity:
-        """Return what the connection is doing."""
+        """Return the state that determines what the connection waits for."""
         parser = self._input.parser
         return ConnectionActivity(
             streaming_response=self._writer.is_streaming(),
@@ -186,24 +186,24 @@
         )
 
     def _on_timeout(self, overdue: AwaitedEvent) -> None:
-        """End the connection in the way that loses least."""
+        """End the connection in the way that loses the least data."""
         if overdue is AwaitedEvent.REST_OF_REQUEST:
             self._dispatcher.on_read_error(_TIMEOUT_ERROR)
             self._dispatcher.process_pipeline()
         elif overdue is not AwaitedEvent.NEXT_REQUEST:
             self.abort()
         elif not http.readable(self.fd):  # else the next request has arrived
-            self._counters.add("clients_idle" if self.heard else "clients_silent")
+            self._counters.add("clients_idle" if self.has_received_data else "clients_silent")
             self._end()
 
-    # --- the end --------------------------------------------------------------------------------------
+    # --- end of the connection ------------------------------------------------------------------------
 
     def close(self) -> None:
         """End the connection now, with an error response to each request that was read and has none."""
         if self.ended:
             return
-        if not self._writer.is_streaming():  # else nothing can follow the truncated response
-            self._dispatcher.refuse_all(_SHUTDOWN_ERROR)
+        if not self._writer.is_streaming():  # nothing can follow a truncated response
+            self._dispatcher.respond_error_to_all(_SHUTDOWN_ERROR)
         self._end()
 
     def abort(self) -> None:
@@ -212,10 +212,10 @@
         self._close.abort()
 
     def evict(self) -> bool:
-        """End the connection because there are too many; return whether it is closed already.
+        """End the connection because there are too many; return whether it was closed at once.
 
         A client that has sent part of a request may be about to complete it: it gets an error response, and
-        the connection closes gracefully.
+        the connection is closed gracefully.
         """
         if self._input.parser.in_message and not self.busy and not self.ended:
             self._dispatcher.on_read_error(_EVICTION_ERROR)
@@ -225,19 +225,19 @@
         return True
 
     def _end(self) -> None:
-        """End the connection gracefully: send what was written, then wait for the peer to close."""
+        """End the connection gracefully: send the remaining output, then wait for the client to close."""
         if self.ended:
             return
         self._dispatcher.stop()
-        if not self.heard:
-            self._close.close_untouched()
+        if not self.has_received_data:
+            self._close.close_unused()
             return
         self._timeouts.restart(time.monotonic())
         if self._close.close_gracefully():
             self._handler.connection_closing(self)
 
     def _on_disconnected(self) -> None:
-        """Give up what was read: the client has gone."""
+        """Drop all input and requests, because the client has disconnected."""
         if self.busy and not self.ended:
             self._counters.add("clients_disconnected")
         self._dispatcher.stop()
@@ -249,7 +249,7 @@
         self._dispatcher.send_final_response(final)
 
     def on_finished(self) -> None:
-        """End the connection: nothing more is owed on it."""
+        """End the connection gracefully: no response on it is outstanding."""
         self._end()
 
 
--- a/indigokeel/net/downstream/client_timeouts.py
+++ b/indigokeel/net/downstream/client_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a client connection may wait for its peer. No I/O; the clock is passed in."""
+"""Timeouts of a client connection that waits for its client. No I/O; the time is passed in."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 _REQUEST_TIMEOUT_S = 2.5  # from a request's first byte (on a new connection: from the accept) to its last
 _MIN_BODY_BYTES_PER_S = 32_000  # a body extends the request timeout at this rate
-# Connections without a request would take up the descriptors that other clients need.
+# Idle connections hold descriptors that other clients need.
 _KEEPALIVE_TIMEOUT_S = 2.2
-_WRITE_TIMEOUT_S = 5.0  # for the client to accept more of a response
-_STREAM_TIMEOUT_S = 10.0  # for the next chunk of a streamed response to arrive and be accepted
-_LINGER_TIMEOUT_S = 1.0  # for the peer to close after this side has ended
+_WRITE_TIMEOUT_S = 5.0  # until the client accepts more of a response
+_STREAM_TIMEOUT_S = 10.0  # until the next chunk of a streamed response has arrived and been accepted
+_LINGER_TIMEOUT_S = 1.0  # until the client closes, after this side has shut down writing
 
 
 class AwaitedEvent(Enum):
@@ -26,17 +26,17 @@
 
 @dataclass(slots=True)
 class ConnectionActivity:
-    """What a connection is doing, as far as it decides what is awaited."""
+    """The state of a connection that determines what it waits for."""
 
     streaming_response: bool
-    unwritten_bytes: int  # of output that the client has not accepted
+    unwritten_bytes: int  # output that the client has not accepted
     ended: bool  # this side has written its last byte
     receiving_request: bool  # a request has been received in part, or its body is being streamed
-    reading_paused: bool  # by this side
+    reading_paused: bool  # by this side (backpressure)
     idle: bool  # nothing that was read awaits a response
 
     def awaited_event(self) -> AwaitedEvent | None:
-        """Return what the connection waits for, or None if that is on this side."""
+        """Return what the connection waits for from its client, or None if it waits for this side."""
         if self.streaming_response:
             return AwaitedEvent.RESPONSE_STREAM_CHUNK
         if self.unwritten_bytes:
@@ -49,7 +49,7 @@
 
 
 class ClientTimeouts:
-    """Track how long a connection has waited for its peer."""
+    """Track how long a connection has waited for its client."""
 
     __slots__ = ("_unwritten_bytes", "_waiting_since")
 
@@ -58,21 +58,22 @@
         self._unwritten_bytes = 0  # as of the last check
 
     def restart(self, now: float) -> None:
-        """Start to wait, in monotonic seconds."""
+        """Start a new wait at ``now``, in monotonic seconds."""
         self._waiting_since = now
 
     def exclude_pause(self, paused_at: float, now: float) -> None:
-        """Don't count the time since ``paused_at``, when this side stopped reading."""
+        """Exclude the time since ``paused_at``, when this side stopped reading."""
         self._waiting_since += now - max(paused_at, self._waiting_since)
 
     def elapsed_s(self, now: float) -> float:
-        """Return the seconds waited so far."""
+        """Return the seconds since the wait began, without excluded pauses."""
         return now - self._waiting_since
 
     def check(self, now: float, activity: ConnectionActivity, body_bytes: int) -> AwaitedEvent | None:
-        """Return the event that is overdue, or None; ``body_bytes`` of the request have been received.
+        """Return the awaited event if it is overdue, else None.
 
-        The wait starts anew when the client has accepted some of the output since the last check.
+        ``body_bytes`` is the number of bytes received of the current request's body. The wait starts anew if
+        the client has accepted some of the output since the last check.
         """
         if activity.unwritten_bytes != self._unwritten_bytes:
             self._unwritten_bytes = activity.unwritten_bytes
--- a/indigokeel/net/downstream/connection_close.py
+++ b/indigokeel/net/downstream/connection_close.py
@@ -1,7 +1,8 @@
-"""Ends one client connection without the loss of what was written last.
+"""Closes one client connection without losing the output that was written last.
 
-A close over unread bytes resets the connection, and the reset discards output that the peer has not received.
-A graceful end therefore shuts down writing, discards what still arrives, and closes after the peer has.
+Closing a socket with unread input resets the connection, and the reset discards output that the client has
+not received. A graceful close therefore shuts down writing, discards further input, and closes the socket
+after the client has closed its side.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 from indigokeel.net import http
 from indigokeel.net.downstream.flow_control import ReadFlow
 
-_MAX_DISCARDED_BYTES = 256 * 1024  # beyond them the peer is left to wait with its output
+_MAX_DISCARDED_BYTES = 256 * 1024  # beyond that nothing more is read, and the client's output waits
 
 
 class ConnectionClose:
-    """Close a connection, gracefully or at once, and tell what a close would lose."""
+    """Close a connection, gracefully or at once, and report the output that a close would lose."""
 
     __slots__ = ("_discarded_bytes", "_flow", "_transport")
 
@@ -25,18 +26,18 @@
         self._discarded_bytes = 0
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """Take charge of a transport."""
+        """Set the transport that is to be closed."""
         self._transport = transport
 
     def close_gracefully(self) -> bool:
-        """Send what was written and then the end of the stream; return False if the transport is closing."""
+        """Send the remaining output and the end of the stream; return False if the transport is closing."""
         if self._transport.is_closing():
             return False
         self._transport.write_eof()
         self._flow.resume()
         return True
 
-    def close_untouched(self) -> None:
+    def close_unused(self) -> None:
         """Close a connection on which nothing was read or written."""
         self._transport.close()
 
@@ -45,26 +46,32 @@
         self._transport.abort()
 
     def discard(self, data: bytes) -> None:
-        """Discard bytes that arrived after the end; leave them with the system beyond a bound."""
+        """Discard input that arrived after the end; beyond a limit, stop reading it."""
         self._discarded_bytes += len(data)
         if self._discarded_bytes > _MAX_DISCARDED_BYTES and not self._transport.is_closing():
             self._flow.pause()
 
     def buffered_bytes(self) -> int:
-        """Return the bytes of output that the system has not accepted yet."""
+        """Return the number of output bytes that the system has not accepted yet."""
         return self._transport.get_write_buffer_size()
 
     def has_unwritten_output(self, fd: int) -> bool:
-        """Return whether a close would lose output now."""
+        """Return whether a close now would lose output."""
         return fd >= 0 and (self.buffered_bytes() > 0 or self.unacknowledged_bytes(fd) > 0)
 
     def pending_output_bytes(self, fd: int, ended: bool) -> int:
-        """Return the bytes of output to wait for; after the end, those that a close would lose as well."""
+        """Return the number of output bytes to wait for.
+
+        After the end these include the bytes that a close would lose.
+        """
         if fd < 0:
             return 0
         return self.buffered_bytes() + (self.unacknowledged_bytes(fd) if ended else 0)
 
     @staticmethod
     def unacknowledged_bytes(fd: int) -> int:
-        """Return the sent bytes that are not acknowledged, if unread input would make a close a reset."""
+        """Return the number of sent bytes that the client's system has not acknowledged.
+
+        It is 0 without unread input, for then a close does not reset the connection.
+        """
         return http.unsent(fd) if http.readable(fd) else 0
--- a/indigokeel/net/downstream/current_exchange.py
+++ b/indigokeel/net/downstream/current_exchange.py
@@ -1,4 +1,4 @@
-"""The request of a client connection that is being served, and its response."""
+"""The request that is being served on a client connection, and its response."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     """The connection that the exchange takes place on."""
 
     def on_finished(self) -> None:
-        """End the connection gracefully: nothing more is owed on it."""
+        """End the connection gracefully: no response on it is outstanding."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=FinishableConnection)
 
 
 class CurrentExchange(Generic[ConnectionT]):
-    """Own the state of the exchange in service: its request's id, its response, what happens after it."""
+    """Own the state of the current exchange: its request, its response, and whether to close after it."""
 
     __slots__ = (
         "_connection",
@@ -57,24 +57,24 @@
         self._timeouts = timeouts
         self._keep_alive = True  # the connection persists after the current response
         self.busy = False  # a request is being served or responded to
-        self.request_id = ""  # of the request that the sidecar serves, until its response
+        self.request_id = ""  # of the request that the sidecar is serving, until its response
 
     def begin(self, keep_alive: bool) -> None:
-        """Start an exchange, after which the connection persists if the client wants it so."""
+        """Start an exchange; ``keep_alive`` is whether the client asks to keep the connection after it."""
         self.busy = True
         self._keep_alive = keep_alive
 
     def on_accepted(self, request_id: str) -> None:
-        """Note that the sidecar serves the request from now on."""
+        """Record that the sidecar serves the request from now on."""
         self.request_id = request_id
 
     def cancel(self) -> None:
-        """Give up the request that is being served; nothing more is written for it."""
+        """Cancel the request being served; nothing more is written for it."""
         self.busy = False
         self.release_request()
 
     def respond(self, final: FinalResponse) -> None:
-        """Write the response of the sidecar."""
+        """Write the sidecar's final response."""
         self._counters.add("answers_written")
         self._input.discard_active_stream()
         self._decide_keep_alive()
@@ -82,7 +82,7 @@
             self.on_written()
 
     def respond_error(self, error: RequestError) -> None:
-        """Write the response to a request that is well framed and cannot be served."""
+        """Write the response to a request that is well framed but cannot be served."""
         self._counters.add("messages_malformed")
         self._input.flow.count_error()
         self._input.discard_active_stream()
@@ -97,15 +97,15 @@
         self.on_written()
 
     def _decide_keep_alive(self) -> None:
-        """Close the connection after this response if the sidecar wants it so and no request follows."""
+        """Let the connection close after this response if the sidecar asks for it and no request follows."""
         if (self._handler.closing or self._handler.is_crowded()) and not self._input.has_more_requests():
             self._keep_alive = False
 
     def on_written(self) -> None:
-        """Note that the response is written, and end the connection if it does not persist."""
+        """Finish the exchange, and end the connection if it does not persist."""
         self.busy = False
         if self._input.active_stream() is not None:
-            return  # the rest of the body is read first: a close would reset it
+            return  # a close before the rest of the body is read would reset the connection
         self._timeouts.restart(time.monotonic())
         if not self._keep_alive and not self._input.is_discarding_body():
             self._connection().on_finished()
@@ -113,12 +113,12 @@
     # --- the request's body ---------------------------------------------------------------------------
 
     def on_body_discarded(self) -> None:
-        """End a connection that was kept open only to read the rest of a body."""
+        """End a connection that stayed open only to read the rest of a body."""
         if not self._keep_alive and not self.busy and self._input.pipeline.first() is None:
             self._connection().on_finished()
 
     def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
-        """Note the last byte of the streamed body of the request that is being served."""
+        """Handle the last byte of the streamed body of the request being served."""
         self._keep_alive = self._keep_alive and keep_alive
         request_stream.end()
         if self.request_id:
@@ -127,7 +127,7 @@
             self._connection().on_finished()
 
     def release_request(self) -> None:
-        """Give up the request that is being served, and the bodies on their way in both directions."""
+        """Cancel the request being served, and the streamed bodies in both directions."""
         self._input.take_streamed_request()
         request_id = self.request_id
         self.request_id = ""
--- a/indigokeel/net/downstream/flow_control.py
+++ b/indigokeel/net/downstream/flow_control.py
@@ -1,4 +1,4 @@
-"""When one client connection is read and parsed, and when reading pauses (backpressure)."""
+"""Decides when a client connection is read and parsed, and when reading pauses (backpressure)."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 from indigokeel.net.downstream.request_parser import RequestParser
 from indigokeel.net.http import RequestError
 
-# A client that repeats an invalid request as soon as it has the response would take up the loop.
+# Without pauses, a client that repeats an invalid request after each response would occupy the event loop.
 _ERRORS_PER_PAUSE = 16
 _ERROR_PAUSE_S = 0.01
 
 
 class FlowEvents(Protocol):
-    """Receives what reading a connection leads to."""
+    """The receiver of the events of reading a connection."""
 
     def process_pipeline(self) -> None:
-        """Serve the requests that were parsed, then call ``ReadFlow.regulate``."""
+        """Serve the parsed requests, then call ``ReadFlow.regulate``."""
 
     def on_read_error(self, error: RequestError) -> None:
         """Handle broken framing: the connection cannot be parsed any further."""
 
     def on_read_fault(self, error: Exception) -> None:
-        """Handle an internal error while the connection was parsed."""
+        """Handle an internal error in parsing."""
 
 
-class RequestBodyGate(Protocol):
-    """Tells whether a streamed request body holds up the parsing of what is behind it."""
+class BodyBackpressure(Protocol):
+    """The backpressure of a streamed request body on the parsing of the input behind it."""
 
-    is_blocked: bool  # the body has to be forwarded, or its request started, before more is parsed
+    is_blocked: bool  # nothing is parsed until the body is forwarded or its request started
 
 
 class ReadFlow:
-    """Regulate the flow of one connection's bytes into its pipeline of requests."""
+    """Regulate the reading and parsing of one connection into its pipeline of requests."""
 
     __slots__ = (
         "_backlog_since",
-        "_body_gate",
+        "_body_backpressure",
         "_consecutive_errors",
         "_events",
         "_parser",
@@ -61,37 +61,37 @@
         events: FlowEvents,
         parser: RequestParser,
         pipeline: Pipeline,
-        body_gate: RequestBodyGate,
+        body_backpressure: BodyBackpressure,
         timeouts: ClientTimeouts,
     ) -> None:
         self._events = events
         self._parser = parser
         self._pipeline = pipeline
-        self._body_gate = body_gate
+        self._body_backpressure = body_backpressure
         self._timeouts = timeouts
         self._transport: asyncio.Transport
         self._scheduled = False  # parsing is under way or scheduled
-        self._backlog_since = 0.0  # monotonic seconds since when the next bytes may have waited, or 0.0
+        self._backlog_since = 0.0  # monotonic seconds since which the next bytes may have waited, or 0.0
         self._consecutive_errors = 0
         self._timer: asyncio.TimerHandle | None = None  # ends the pause after errors
         self.error_pause = False
         self.last_read_at = 0.0  # monotonic seconds
-        self.paused_at = 0.0  # monotonic seconds since when nothing is read, or 0.0
-        self.stopped = False  # nothing more is parsed, for good
+        self.paused_at = 0.0  # monotonic seconds since which reading is paused, or 0.0
+        self.stopped = False  # nothing is ever parsed again
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """Start to regulate a transport."""
+        """Set the transport to regulate."""
         self._transport = transport
 
     def on_read(self, now: float) -> float:
-        """Note that bytes were read; return the monotonic seconds at which they may have arrived."""
+        """Record a read; return the monotonic seconds since which its bytes may have been waiting."""
         arrived_at = self._backlog_since or now
         self._backlog_since = 0.0
         self.last_read_at = now
         return arrived_at
 
     def stop(self) -> None:
-        """Drop what is not parsed yet, and parse nothing more."""
+        """Drop the unparsed bytes, and parse nothing more."""
         self.stopped = True
         self._parser.stop()
         self._pipeline.drop_bytes()
@@ -103,9 +103,9 @@
             self._timer.cancel()
 
     def parse(self) -> None:
-        """Parse what was read, up to as many requests as the pipeline holds.
+        """Parse the queued bytes, in one call up to as many requests as the pipeline holds.
 
-        The bound keeps one client from occupying the loop.
+        The limit keeps one client from occupying the event loop.
         """
         self._scheduled = True
         queued_before = self._pipeline.total_queued
@@ -121,17 +121,17 @@
         self._scheduled = False
 
     def _parse_scheduled(self) -> None:
-        """Parse in a later turn of the loop, and serve what was found."""
+        """Parse in a later turn of the event loop, and serve the requests found."""
         if not self.stopped:
             self.parse()
             self._events.process_pipeline()
 
     def _is_blocked(self) -> bool:
-        """Return whether parsed input has to be dealt with before more is parsed."""
-        return self._body_gate.is_blocked or self.error_pause or self._pipeline.is_full()
+        """Return whether parsed input has to be processed before more is parsed."""
+        return self._body_backpressure.is_blocked or self.error_pause or self._pipeline.is_full()
 
     def regulate(self) -> None:
-        """Read, parse or pause, as the pipeline allows."""
+        """Pause or resume reading, and schedule parsing, as the pipeline requires."""
         if self.stopped:
             return
         blocked = self._is_blocked()
@@ -144,37 +144,37 @@
             self._end_pause()
 
     def _end_pause(self) -> None:
-        """Read again, without counting the pause as the client's time."""
+        """Resume reading; the pause does not count towards the client's timeouts."""
         self._timeouts.exclude_pause(self.paused_at, time.monotonic())
-        # A request that arrived during the pause has had its deadline running since then.
+        # The deadline of a request that arrived during the pause has been running since then.
         if http.readable(self._transport.get_extra_info("socket").fileno()):
             self._backlog_since = self.paused_at
         self.resume()
 
     def pause(self) -> None:
-        """Stop to read for now."""
+        """Pause reading."""
         if not self.paused_at and not self._transport.is_closing():
             self.paused_at = time.monotonic()
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again, whatever the reason for the pause."""
+        """Resume reading, whatever the reason for the pause was."""
         self.paused_at = 0.0
         if not self._transport.is_closing():
             self._transport.resume_reading()
 
     def reset_errors(self) -> None:
-        """Note that a request was accepted."""
+        """Record an accepted request, which ends a run of errors."""
         self._consecutive_errors = 0
 
     def count_error(self) -> None:
-        """Note that an error response was written, and pause after many in a row."""
+        """Record an error response, and pause the connection after many in a row."""
         self._consecutive_errors += 1
         if self._consecutive_errors % _ERRORS_PER_PAUSE == 0:
             self.error_pause = True
             self._timer = asyncio.get_running_loop().call_later(_ERROR_PAUSE_S, self._end_error_pause)
 
     def _end_error_pause(self) -> None:
-        """Serve the connection again."""
+        """Serve the connection again after a pause for errors."""
         self.error_pause = False
         self._events.process_pipeline()
--- a/indigokeel/net/downstream/pipeline.py
+++ b/indigokeel/net/downstream/pipeline.py
@@ -1,9 +1,9 @@
-"""The input of one client connection that has no response yet. No I/O.
+"""The queued input of one client connection. No I/O.
 
-It consists of complete requests, in order, and of bytes that are not parsed.
+It consists of complete requests that wait for their turn, in order, and of the unparsed bytes behind them.
 
-llhttp parses all that it is given and cannot be stopped, so it is given slices. That bounds the memory of one
-connection to MAX_QUEUED_REQUESTS, the requests that fit into one slice, and the bytes of one read.
+llhttp parses all bytes that it is given and cannot be interrupted, so it is given slices. This limits the
+memory of one connection to MAX_QUEUED_REQUESTS, the requests in one slice, and the bytes of one read.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.http import RequestError
 
-MAX_QUEUED_REQUESTS = 8  # behind the one being served; reading pauses until there are fewer
-_SLICE_BYTES = 2 * 1024  # parsed at a time, beside the rest of a body
-_CHUNKED_BODY_SLICE_BYTES = 16 * 1024  # within a chunked body, whose end is not known
+MAX_QUEUED_REQUESTS = 8  # behind the one being served; at this number reading pauses
+_SLICE_BYTES = 2 * 1024  # parsed at a time, in addition to the rest of a body
+_CHUNKED_BODY_SLICE_BYTES = 16 * 1024  # parsed at a time within a chunked body, whose end is not known
 
 
 @dataclass(slots=True)
 class PendingRequest:
     """A request that awaits its response.
 
-    It has ``received`` to be served, ``error`` to be reported, or, with neither, is a health check.
+    It has either a request to serve (``received``) or an error to respond with; with neither it is a health
+    check.
     """
 
     arrived_at: float  # monotonic seconds at which its last byte may have arrived
@@ -32,14 +33,14 @@
 
 
 class Pipeline:
-    """Queue requests that were read ahead of their turn, and the bytes behind them."""
+    """Queue the requests that were read before their turn, and the unparsed bytes behind them."""
 
     __slots__ = ("_bytes", "_requests", "_start", "arrived_at", "total_queued")
 
     def __init__(self) -> None:
-        self._requests: list[PendingRequest] = []  # an empty deque is ten times as large
+        self._requests: list[PendingRequest] = []  # not a deque: an empty one is ten times as large
         self._bytes = b""
-        self._start = 0  # of the bytes that are not parsed
+        self._start = 0  # index of the first unparsed byte
         self.arrived_at = 0.0  # monotonic seconds at which the newest bytes may have arrived
         self.total_queued = 0  # requests ever queued
 
@@ -48,7 +49,7 @@
         return not self._requests and not self._bytes
 
     def is_full(self) -> bool:
-        """Return whether so many requests wait that no more are to be read."""
+        """Return whether so many requests are queued that reading has to pause."""
         return len(self._requests) >= MAX_QUEUED_REQUESTS
 
     def append(self, request: PendingRequest) -> None:
@@ -57,7 +58,7 @@
         self.total_queued += 1
 
     def first(self) -> PendingRequest | None:
-        """Return the request whose turn it is."""
+        """Return the request whose turn it is, if any."""
         return self._requests[0] if self._requests else None
 
     def pop(self) -> PendingRequest:
@@ -65,7 +66,7 @@
         return self._requests.pop(0)
 
     def fail_requests(self, error: RequestError) -> None:
-        """Give each queued request this error in place of what it asked for, unless it has one already."""
+        """Replace each queued request by this error, unless it has one already."""
         for request in self._requests:
             request.received = None
             request.error = request.error or error
@@ -82,7 +83,7 @@
         return bool(self._bytes)
 
     def append_bytes(self, data: bytes, arrived_at: float) -> None:
-        """Queue bytes that were read, which may have arrived at ``arrived_at`` in monotonic seconds."""
+        """Queue bytes that were read and may have arrived at ``arrived_at``, in monotonic seconds."""
         self.arrived_at = arrived_at
         self._bytes = self._bytes[self._start :] + data if self._bytes else data
         self._start = 0
@@ -90,8 +91,8 @@
     def next_slice(self, remaining_body_bytes: int) -> bytes | memoryview:
         """Remove and return the next bytes to parse.
 
-        ``remaining_body_bytes`` is the length until the end of the current body: 0 outside of bodies, -1 in a
-        chunked one.
+        ``remaining_body_bytes`` is the number of bytes up to the end of the current body: 0 outside of
+        bodies, -1 in a chunked one.
         """
         size = _CHUNKED_BODY_SLICE_BYTES if remaining_body_bytes < 0 else remaining_body_bytes + _SLICE_BYTES
         start = self._start
@@ -104,6 +105,6 @@
         return memoryview(data)[start:] if start else data
 
     def drop_bytes(self) -> None:
-        """Drop the bytes that are not parsed."""
+        """Drop the unparsed bytes."""
         self._bytes = b""
         self._start = 0
--- a/indigokeel/net/downstream/received_request.py
+++ b/indigokeel/net/downstream/received_request.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """A decoded request: what the balancer decides on, and what goes to an upstream unchanged."""
+    """A decoded request: what the balancer decides on, and the message to forward unchanged."""
 
     request: Request
     outbound: OutboundRequest
--- a/indigokeel/net/downstream/request_decoder.py
+++ b/indigokeel/net/downstream/request_decoder.py
@@ -20,7 +20,7 @@
 _MAX_WORK_HINT_S = 3600.0
 _MAX_PLAIN_LENGTH_CHARS = 8
 
-# A complete head in its plainest form, which an overloaded sidecar can refuse without parsing it.
+# A complete head in its simplest form, which an overloaded sidecar can reject without the full parser.
 _PLAIN_HEAD = re.compile(rb"(?:GET|POST) [^ \r\n]+ HTTP/1\.1\r\n(?:[!-9;-~]+:[^\r\n]*\r\n)+\r\n")
 _FRAMING_HEADER = re.compile(rb"\r\n(?:transfer-encoding|connection|expect|upgrade):", re.IGNORECASE)
 _CLASS_HEADER = re.compile(rb"\r\nrequest-class: *([^\r\n]+)\r", re.IGNORECASE)
@@ -31,16 +31,16 @@
 
 
 class PlainRequest(NamedTuple):
-    """What load shedding needs to know of a request that has not been parsed."""
+    """The fields of an unparsed request that load shedding decides on."""
 
     class_name: str
     budget_s: float
 
 
-def read_plain(data: bytes) -> PlainRequest | None:
-    """Scan bytes that are exactly one complete and plain message; return None if they are anything else.
+def scan_plain_request(data: bytes) -> PlainRequest | None:
+    """Scan bytes that are exactly one complete request in plain form; return None for anything else.
 
-    None says nothing about whether the message is valid: only the parser decides that.
+    None does not mean that the message is invalid: only the parser decides that.
     """
     head = _PLAIN_HEAD.match(data)
     if head is None or _FRAMING_HEADER.search(data, 0, head.end()):
@@ -55,7 +55,7 @@
 
 
 def _plain_body_length(values: list[bytes]) -> int | None:
-    """Return the body's length in bytes by the Content-Length values, or None if they are not plain."""
+    """Return the body's length in bytes by Content-Length, or None unless it is a single short number."""
     if not values:
         return 0
     if len(values) > 1 or not values[0].strip().isdigit() or len(values[0]) > _MAX_PLAIN_LENGTH_CHARS:
@@ -97,7 +97,7 @@
 
 
 def _read_path(target: bytes, class_name: str) -> list[str]:
-    """Return the path's segments, the empty one before the first slash included."""
+    """Return the path's segments, including the empty one before the first slash."""
     segments = target.split(b"?", 1)[0].decode("latin-1").split("/")
     if len(segments) < 2 or segments[1] != class_name:
         raise RequestError(404, "the path does not begin with the class")
@@ -113,7 +113,7 @@
 
 
 def _read_budget(headers: Headers) -> float:
-    """Return the seconds that the client waits for its response."""
+    """Return the seconds for which the client waits for its response."""
     timeout_ms = headers.get(b"request-timeout-ms", b"")
     if not timeout_ms.isdigit() or len(timeout_ms) > _MAX_TIMEOUT_DIGITS or int(timeout_ms) == 0:
         raise RequestError(400, "Request-Timeout-Ms is missing or bad")
@@ -121,7 +121,7 @@
 
 
 def _read_idempotency_key(headers: Headers, class_settings: ClassSettings) -> bytes | None:
-    """Return the idempotency key, which is mandatory in classes whose requests are repeated by key."""
+    """Return the idempotency key, which is mandatory in classes that are idempotent by key."""
     key = headers.get(b"idempotency-key")
     if class_settings.idempotency is Idempotency.KEYED and not key:
         raise RequestError(400, "Idempotency-Key is missing")
@@ -137,7 +137,7 @@
 
 
 def _read_work_hint(headers: Headers, info: dict[str, str]) -> float:
-    """Return the seconds of work that the client expects, or 0.0 if it gives no sensible figure."""
+    """Return the seconds of work that the client expects, or 0.0 without a valid figure."""
     if not info and b"work-hint" not in headers:
         return 0.0
     hint_s = 0.0
--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -22,27 +22,27 @@
 from indigokeel.requests.open_requests import RESPONSE_MARGIN_S
 
 _INTERNAL_ERROR = RequestError(500, "internal error")
-_MAX_MARGIN_RATIO = 0.5  # of a request's budget that the margin for its response may take up
+_MAX_MARGIN_RATIO = 0.5  # largest share of a request's budget that is kept for its response
 
 
 class Connection(FinishableConnection, Protocol):
     """The connection whose requests are dispatched."""
 
     def abort(self) -> None:
-        """Close the connection at once: the client must see that the response is incomplete."""
+        """Close the connection at once, so that the client sees that the response is incomplete."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, as the system tells."""
+        """Return whether the operating system reports that the client has disconnected."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=Connection)
 
 
 class RequestDispatcher(Generic[ConnectionT]):
-    """Hand the requests of a connection to the sidecar; receive the events of both its sides.
+    """Hand the requests of a connection to the sidecar; handle the events of its input and its writer.
 
     The input and the writer refer to the dispatcher weakly, and the dispatcher to its connection, so that all
-    are freed by reference count.
+    are freed by reference counting.
     """
 
     __slots__ = (
@@ -74,7 +74,7 @@
         self.writer = ResponseWriter(events, timeouts, counters)
         self.exchange = CurrentExchange(connection, handler, counters, self.input, self.writer, timeouts)
         self._processing = False
-        self._admitted = False  # the next request has passed load shedding already
+        self._admitted = False  # by load shedding: the next request need not be checked again
         self.ended = False  # no more requests are served
 
     def is_idle(self) -> bool:
@@ -84,8 +84,8 @@
     # --- the order of requests ------------------------------------------------------------------------
 
     def process_pipeline(self) -> None:
-        """Serve the requests that were read, one after another; then regulate reading."""
-        if self._processing:  # a response may be written while its request is being handed over
+        """Serve the queued requests one after another, then pause or resume reading."""
+        if self._processing:  # called for a response that is written while its request is being handed over
             return
         self._processing = True
         while not self.ended:
@@ -98,7 +98,7 @@
         self.input.flow.regulate()
 
     def _serve_queued(self) -> None:
-        """Serve queued requests until one has to be waited for; then what follows them."""
+        """Serve queued requests until one is in progress; after the last, serve what follows the queue."""
         pipeline = self.input.pipeline
         while not self.exchange.busy and not self.ended and (pending := pipeline.first()) is not None:
             if self.input.flow.error_pause or (self.writer.write_paused and pending.received is None):
@@ -110,7 +110,7 @@
             self._serve_after_queue()
 
     def _serve_after_queue(self) -> None:
-        """Serve a streamed request, or end a connection that cannot be read any further."""
+        """Serve a streamed request, end a connection that has stopped reading, or invite an awaited body."""
         request_input = self.input
         streamed = request_input.take_streamed_request()
         if streamed is not None:
@@ -127,7 +127,7 @@
                 self.writer.write_continue()
 
     def _begin(self, pending: PendingRequest) -> None:
-        """Serve a request, or respond to it here if it is a health check or invalid."""
+        """Serve a request, or respond here if it is a health check or invalid."""
         admitted = self._admitted
         self._admitted = False
         if pending.error is not None:
@@ -140,10 +140,10 @@
     # --- admission ------------------------------------------------------------------------------------
 
     def shed_unparsed(self, plain: PlainRequest) -> bool:
-        """Reject a request that has not been parsed, if the sidecar sheds load; return whether it does."""
+        """Reject an unparsed request if the sidecar sheds load; return whether it was rejected."""
         retry_after_s = self._handler.shed_early(self._connection(), time.monotonic(), *plain)
         if retry_after_s is None:
-            self._admitted = True  # it is not asked for again once it is parsed
+            self._admitted = True  # load shedding is not asked again once the request is parsed
             return False
         self.exchange.begin(keep_alive=True)
         self._shed(retry_after_s)
@@ -152,7 +152,7 @@
     def _accept(self, arrived_at: float, received: ReceivedRequest, admitted: bool) -> None:
         """Hand a request to the sidecar with the rest of its budget, or reject it.
 
-        ``admitted`` requests have passed load shedding already.
+        Requests that are ``admitted`` have passed load shedding already.
         """
         now = time.monotonic()
         request = received.request
@@ -162,7 +162,7 @@
             self.exchange.respond_error(RequestError(409, "a job of this id is open"))
             return
         if budget_s <= min(RESPONSE_MARGIN_S, request.budget * _MAX_MARGIN_RATIO):
-            # It waited behind others on its connection, for which no upstream is to blame.
+            # It waited behind other requests of its connection, which must not count against an upstream.
             self._counters.add("requests_out_of_time")
             self.send_final_response(FinalResponse(FinalStatus.REJECTED))
             return
@@ -187,7 +187,7 @@
     # --- responses ------------------------------------------------------------------------------------
 
     def send_final_response(self, final: FinalResponse) -> None:
-        """Respond to the request that is being served, and serve the next."""
+        """Respond to the request being served, and serve the next one."""
         self.exchange.request_id = ""
         if self.ended:
             return
@@ -203,13 +203,13 @@
         self.process_pipeline()
 
     def on_response_truncated(self) -> None:
-        """Close at once after a streamed response that is incomplete."""
+        """Close the connection at once after an incomplete streamed response."""
         self._connection().abort()
 
     # --- the request's body ---------------------------------------------------------------------------
 
     def on_continue_expected(self) -> None:
-        """Invite the client to send the body, now or once it is the request's turn."""
+        """Send ``100 Continue`` now, or once it is the request's turn."""
         self.input.continue_expected = self.exchange.busy or self.input.pipeline.first() is not None
         if not self.input.continue_expected:
             self.writer.write_continue()
@@ -219,7 +219,7 @@
         self.exchange.on_body_discarded()
 
     def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
-        """Handle the last byte of the streamed body of the request that is being served."""
+        """Handle the last byte of the streamed body of the request being served."""
         self.exchange.on_stream_ended(request_stream, keep_alive)
 
     def regulate_reading(self) -> None:
@@ -227,54 +227,54 @@
         self.input.flow.regulate()
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, as the system tells."""
+        """Return whether the operating system reports that the client has disconnected."""
         return self.ended or self._connection().has_disconnected()
 
-    # --- the end --------------------------------------------------------------------------------------
+    # --- end of the connection ------------------------------------------------------------------------
 
     def mark_ended(self) -> None:
-        """Serve nothing more."""
+        """Serve no more requests."""
         self.ended = True
 
     def stop(self) -> None:
-        """Drop all requests; serve and parse nothing more."""
+        """Drop all requests; parse and serve nothing more."""
         self.ended = True
         self.input.pipeline.clear()
         self.exchange.release_request()
         self.input.flow.stop()
 
     def on_read_error(self, error: RequestError) -> None:
-        """Stop reading at broken framing, and give up the request whose body it breaks off."""
+        """Stop reading at broken framing, and cancel the request being served if its body is cut off."""
         if self.input.flow.stopped:
             return
         if self.exchange.request_id and self.input.active_stream() is not None:
             self.exchange.cancel()
         self.input.fail(error)
 
-    def refuse_all(self, error: RequestError) -> None:
-        """Respond to everything that was read that it will not be served, in order."""
+    def respond_error_to_all(self, error: RequestError) -> None:
+        """Respond with an error, in order, to each request that was read and has no response."""
         if self.exchange.busy:
             self.exchange.cancel()
             self.writer.write_response(FinalResponse(FinalStatus.FAILED), close=True)
-        for refusal in self.input.drain_errors(error, self.on_read_error):
-            self.writer.write_error(refusal, close=True)
+        for request_error in self.input.pop_errors(error, self.on_read_error):
+            self.writer.write_error(request_error, close=True)
 
     # --- internal errors ------------------------------------------------------------------------------
 
     def on_read_fault(self, error: Exception) -> None:
-        """Handle an internal error while the connection was parsed: what came before it is served."""
+        """Handle an internal error in parsing; the requests before it are still served."""
         if not self.ended:
             self._record_fault(error)
             self.on_read_error(_INTERNAL_ERROR)
 
     def _on_fault(self, error: Exception) -> None:
-        """Respond to all that was read with an error, and end the connection."""
+        """Respond with an error to each request that was read, and end the connection."""
         self._record_fault(error)
         if self.writer.is_streaming():  # no complete response can be written any more
             self._connection().abort()
             return
         try:
-            self.refuse_all(_INTERNAL_ERROR)
+            self.respond_error_to_all(_INTERNAL_ERROR)
             self._connection().on_finished()
         except Exception:  # nothing can be written any more
             self._connection().abort()
--- a/indigokeel/net/downstream/request_handler.py
+++ b/indigokeel/net/downstream/request_handler.py
@@ -40,17 +40,17 @@
 
 
 class RequestHandler(Protocol[ConnectionT]):
-    """The sidecar, as client connections see it."""
+    """What client connections need of the sidecar."""
 
-    closing: bool  # the process shuts down
-    overloaded: bool  # the sidecar itself: some requests are rejected early
-    settings: Settings  # those in force
+    closing: bool  # the process is shutting down
+    overloaded: bool  # the sidecar itself is overloaded and rejects some requests early
+    settings: Settings  # the current ones
 
     def is_healthy(self) -> bool:
         """Return whether the sidecar can serve requests."""
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether a request of this id is being served."""
+        """Return whether a request with this id is being served."""
 
     def handle_request(
         self, client: ConnectionT, arrived: float, request: Request, outbound: OutboundRequest
@@ -61,22 +61,22 @@
         """
 
     def request_body_received(self, request_id: str) -> None:
-        """Note that the last byte of a streamed body has been received."""
+        """Record that the last byte of a streamed body has been received."""
 
     def client_disconnected(self, request_id: str) -> None:
-        """Give up a request whose client has gone."""
+        """Cancel a request whose client has disconnected."""
 
     def shed_early(self, client: ConnectionT, arrived: float, class_name: str, budget: float) -> float | None:
-        """Return the seconds after which to retry if the sidecar is too far behind, else None."""
+        """Return the seconds after which to retry if the sidecar sheds the request, else None."""
 
     def is_crowded(self) -> bool:
-        """Return whether there are so many client connections that each closes after its response."""
+        """Return whether there are so many connections that each has to close after its response."""
 
     def connection_opened(self, client: ConnectionT) -> None:
         """Register a connection."""
 
     def connection_closing(self, client: ConnectionT) -> None:
-        """Note that a connection has been ended and waits for its peer to close."""
+        """Record that a connection has been ended and waits for its client to close."""
 
     def connection_closed(self, client: ConnectionT) -> None:
         """Remove a connection."""
--- a/indigokeel/net/downstream/request_input.py
+++ b/indigokeel/net/downstream/request_input.py
@@ -1,4 +1,4 @@
-"""The reading side of one client connection: what was read, what may still be read, and what went wrong."""
+"""The input of one client connection: its parser, its queued requests, flow control and read errors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class InputEvents(FlowEvents, ReceiverEvents, Protocol):
-    """Receives what the reading side leads to. It is referred to weakly, for it owns the reading side."""
+    """The receiver of the input's events. It owns the input, which therefore refers to it weakly."""
 
 
 class RequestInput:
@@ -32,11 +32,11 @@
         self._receiver = RequestReceiver(events, self.pipeline, timeouts)
         self.parser = RequestParser(self._receiver, settings)
         self.flow = ReadFlow(events, self.parser, self.pipeline, self._receiver, timeouts)
-        self.read_error: RequestError | None = None  # reported after the responses to what came before it
-        self.continue_expected = False  # the client waits for ``100 Continue`` behind another request
+        self.read_error: RequestError | None = None  # reported after the responses to the requests before it
+        self.continue_expected = False  # ``100 Continue`` is due once the requests before are served
 
     def is_idle(self) -> bool:
-        """Return whether no request was read, not even in part, that has no response."""
+        """Return whether nothing is queued and no request is partially received."""
         return not self.parser.in_message and self.pipeline.is_empty()
 
     def stalled_for(self, now: float) -> float:
@@ -46,64 +46,64 @@
         return now - self.flow.last_read_at
 
     def has_more_requests(self) -> bool:
-        """Return whether anything was read behind the request being served."""
-        partial = self.parser.in_message and not self.parser.answered
+        """Return whether anything was read after the request being served."""
+        partial = self.parser.in_message and not self.parser.already_responded
         return partial or not self.pipeline.is_empty() or self.flow.stopped
 
     def is_discarding_body(self) -> bool:
-        """Return whether the rest of a request that has its response is being read."""
-        return self.parser.in_message and self.parser.answered
+        """Return whether the rest of a request that has its response is being read and discarded."""
+        return self.parser.in_message and self.parser.already_responded
 
     def is_body_awaited(self) -> bool:
-        """Return whether a request's head was read and nothing of its body."""
-        return self.parser.in_message and self.parser.body_bytes == 0 and not self.parser.answered
+        """Return whether a request's head was received and nothing of its body."""
+        return self.parser.in_message and self.parser.body_bytes == 0 and not self.parser.already_responded
 
     # --- streamed bodies ------------------------------------------------------------------------------
 
     def active_stream(self) -> RequestStream | None:
-        """Return the body that is being read for the request in service, if it is streamed."""
+        """Return the body that is being read for the request being served, if it is streamed."""
         request_stream = self.parser.request_stream
         if request_stream is None or self._receiver.holds_streamed_request():
             return None
         return request_stream
 
     def take_streamed_request(self) -> ReceivedRequest | None:
-        """Return the streamed request that waits for its turn, if there is one, and stop holding it."""
+        """Remove and return the streamed request that is waiting for its turn, if there is one."""
         return self._receiver.take_streamed_request()
 
     def discard_active_stream(self) -> None:
-        """Read the rest of the body of the request in service, which has its response, and discard it."""
+        """Discard the rest of the streamed body of the request being served, which has its response."""
         request_stream = self.active_stream()
         if request_stream is not None:
             request_stream.discard()
-            self.parser.answered = True
+            self.parser.already_responded = True
 
     def drop_request_stream(self) -> None:
-        """Forward nothing more of the body that is being read."""
+        """Stop forwarding the streamed body that is being read."""
         if self.parser.request_stream is not None:
             self.parser.request_stream.discard()
 
-    # --- the end of reading ---------------------------------------------------------------------------
+    # --- end of the input -----------------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Drop what was read, and parse nothing more."""
+        """Drop all queued input, and parse nothing more."""
         self.pipeline.clear()
         self.flow.stop()
 
     def fail(self, error: RequestError) -> None:
-        """Stop at broken framing. Requests that were read before it keep their turns.
+        """Stop reading at broken framing; the requests before it are still served in their turn.
 
-        The error is not reported if it lies within a request that has its response.
+        The error is not reported if it is within a request that already has its response.
         """
         self._receiver.take_streamed_request()
-        # A raised error refers to its traceback's frames; a new one keeps nothing alive.
-        self.read_error = None if self.parser.answered else RequestError(error.status, str(error))
+        # A raised error keeps the frames of its traceback alive; a new one does not.
+        self.read_error = None if self.parser.already_responded else RequestError(error.status, str(error))
         self.flow.stop()
 
-    def drain_errors(
+    def pop_errors(
         self, error: RequestError, on_read_error: Callable[[RequestError], None]
     ) -> Iterator[RequestError]:
-        """Remove all requests that were read; yield an error for each, in order: its own, or ``error``."""
+        """Remove all requests that were read; yield an error for each, in order: its own or ``error``."""
         pipeline = self.pipeline
         while True:
             pipeline.fail_requests(error)
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -1,6 +1,6 @@
 """Parses the requests of one client connection. No I/O.
 
-Broken framing ends the connection; a well-framed request that cannot be served gets an error in its place.
+Broken framing ends the connection; a well-framed request that cannot be served gets an error in its turn.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from indigokeel.net.streams import RequestStream, RequestStreamSource
 
 _MAX_HEADERS = 100
-_MAX_BODY_CHUNKS = 64  # of a buffered body; more are joined, for many small ones cost memory
+_MAX_BODY_CHUNKS = 64  # of a buffered body; more are joined, because many small ones cost memory
 _HEALTH_TARGET = b"/_health"
 
 
 class RequestEvents(RequestStreamSource, Protocol):
-    """Receives what the parser finds, and is the source of the bodies that are streamed."""
+    """The receiver of the parser's events, and the source of streamed bodies."""
 
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
         """Handle a complete request."""
@@ -32,7 +32,7 @@
         """Handle a complete health check."""
 
     def on_invalid_request(self, error: RequestError, keep_alive: bool) -> None:
-        """Handle a well-framed request that cannot be served. Its body is discarded as it arrives."""
+        """Handle a well-framed request that cannot be served; its body is discarded as it arrives."""
 
     def on_body_discarded(self) -> None:
         """Handle the last byte of a request that was responded to before it was complete."""
@@ -61,7 +61,7 @@
         "_received",
         "_settings",
         "_target",
-        "answered",
+        "already_responded",
         "body_bytes",
         "in_head",
         "in_message",
@@ -70,7 +70,7 @@
     )
 
     def __init__(self, events: RequestEvents, settings: Callable[[], Settings]) -> None:
-        """Create a parser; ``settings`` returns those in force."""
+        """Create a parser; ``settings`` returns the current settings."""
         self._events = events
         self._settings = settings
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
@@ -83,7 +83,7 @@
         self.in_message = False
         self.in_head = False
         self.body_bytes = 0  # of the current message so far
-        self.answered = False  # the current message has its response already, written or queued
+        self.already_responded = False  # the current message's response is already written or queued
         self.request_stream: RequestStream | None = None  # the current message's body, if it is streamed
 
     def feed(self, data: bytes | memoryview) -> None:
@@ -103,13 +103,16 @@
             self._count_head_bytes(len(data))
 
     def _count_head_bytes(self, size: int) -> None:
-        """Bound a head that arrives in many small reads."""
+        """Enforce the size limit on a head that arrives in many small reads."""
         self._head_bytes += size
         if self._head_bytes > http.MAX_HEAD:
             raise RequestError(431, "the head is too large")
 
     def stop(self) -> None:
-        """Release the parser. It refers to this object, so the two are freed by reference count only then."""
+        """Release the httptools parser.
+
+        It refers to this object, so only without it are the two freed by reference counting.
+        """
         self._parser = None
         self.in_message = False
         self.in_head = False
@@ -117,7 +120,7 @@
         self.request_stream = None
 
     def remaining_body_bytes(self) -> int:
-        """Return the bytes until the end of the current body, 0 outside of bodies, -1 in a chunked one."""
+        """Return the bytes up to the end of the current body: 0 outside of bodies, -1 in a chunked one."""
         if not self.in_message or self.in_head:
             return 0
         return -1 if self._content_length < 0 else max(self._content_length - self.body_bytes, 0)
@@ -133,7 +136,7 @@
         self._received = None
         self._head_bytes = 0
         self.body_bytes = 0
-        self.answered = False
+        self.already_responded = False
 
     def on_url(self, url: bytes) -> None:
         """Append to the request target."""
@@ -143,7 +146,7 @@
         """Record a header; the first one of a name counts. Raises RequestError if the head is too large."""
         if len(name) + len(value) > http.MAX_HEAD or len(self._headers) > _MAX_HEADERS:
             raise RequestError(431, "the head is too large")
-        # llhttp keeps trailing blanks that arrived in another read than the value.
+        # llhttp keeps trailing whitespace that arrives in a later read than the value.
         self._headers.setdefault(name.lower(), value.strip(b" \t"))
 
     def on_headers_complete(self) -> None:
@@ -161,7 +164,7 @@
         try:
             self._received = read_request(parser.get_method(), self._target, self._headers, self._settings())
         except RequestError as error:
-            # The end of the message is known, so the connection can serve the next one.
+            # The end of the message is known, so the connection can serve the next request.
             self._reject(error)
 
     def _check_head(self) -> None:
@@ -177,16 +180,16 @@
     def _reject(self, error: RequestError) -> None:
         """Report a request that cannot be served."""
         assert self._parser is not None
-        self.answered = True
+        self.already_responded = True
         text = "" if self._parser.get_method() == b"HEAD" else str(error)  # a response to HEAD has no body
-        # A raised error refers to its traceback's frames; a new one keeps nothing alive while it is queued.
+        # A raised error keeps the frames of its traceback alive; a new one can be queued without them.
         queued = RequestError(error.status, text)
         self._events.on_invalid_request(queued, self._parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
         """Buffer, stream or discard a part of the body. Raises RequestError if the body is too large."""
         self.body_bytes += len(data)
-        if self.request_stream is not None or self.answered:
+        if self.request_stream is not None or self.already_responded:
             if self.body_bytes > http.MOST_BODY:
                 raise RequestError(413, "the body is too large")
             if self.request_stream is not None:
@@ -197,7 +200,7 @@
             self._reject(RequestError(413, "the body is too large"))
 
     def _buffer(self, received: ReceivedRequest, data: bytes) -> None:
-        """Append to a body, which is streamed once it is too long to be buffered."""
+        """Append to a body; stream it once it is too long to be buffered."""
         outbound = received.outbound
         outbound.body.append(data)
         if self.body_bytes > http.MAX_BODY:
@@ -221,7 +224,7 @@
         self.request_stream = None
         if request_stream is not None and received is not None:
             self._events.on_stream_ended(request_stream, received, keep_alive)
-        elif self.answered:
+        elif self.already_responded:
             self._events.on_body_discarded()
         elif received is not None:
             self._events.on_request(received, keep_alive)
--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -1,4 +1,4 @@
-"""Takes the requests that the parser finds into the pipeline, and the long bodies that are streamed."""
+"""Queues the requests that the parser reports, and holds one whose long body is streamed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ReceiverEvents(Protocol):
-    """Receives what concerns the request that is being served."""
+    """The receiver of events that concern the request being served."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, as the system tells."""
+        """Return whether the operating system reports that the client has disconnected."""
 
     def on_continue_expected(self) -> None:
         """Handle a client that waits for ``100 Continue``."""
@@ -25,17 +25,17 @@
         """Handle the last byte of a request that was responded to before it was complete."""
 
     def on_stream_ended(self, request_stream: RequestStream, keep_alive: bool) -> None:
-        """Handle the last byte of the streamed body of the request that is being served."""
+        """Handle the last byte of the streamed body of the request being served."""
 
     def regulate_reading(self) -> None:
         """Pause or resume reading as the streamed body requires."""
 
 
 class RequestReceiver:
-    """Receive the parser's events; implements ``RequestEvents``.
+    """Handle the parser's events; implements ``RequestEvents``.
 
-    A streamed request waits here, outside of the pipeline, until it is its turn: nothing behind it is parsed
-    before that.
+    A request with a streamed body waits for its turn here, outside of the pipeline; until then, nothing
+    behind it is parsed.
     """
 
     __slots__ = ("_events", "_pipeline", "_stream_full", "_streamed_request", "_timeouts", "is_blocked")
@@ -44,23 +44,23 @@
         self._events = events
         self._pipeline = pipeline
         self._timeouts = timeouts
-        self._stream_full = False  # the streamed body has to be forwarded before more of it is read
+        self._stream_full = False  # buffered parts of the streamed body must be forwarded before more is read
         self._streamed_request: ReceivedRequest | None = None
-        self.is_blocked = False  # the streamed body holds up the parsing of what is behind it
+        self.is_blocked = False  # parsing waits for the streamed body, or for its request's turn
 
     def holds_streamed_request(self) -> bool:
-        """Return whether a streamed request waits for its turn."""
+        """Return whether a streamed request is waiting for its turn."""
         return self._streamed_request is not None
 
     def take_streamed_request(self) -> ReceivedRequest | None:
-        """Return the streamed request that waits for its turn, if there is one, and stop holding it."""
+        """Remove and return the streamed request that is waiting for its turn, if there is one."""
         received = self._streamed_request
         if received is not None:
             self._update_blocking(None, self._stream_full)
         return received
 
     def _update_blocking(self, streamed_request: ReceivedRequest | None, stream_full: bool) -> None:
-        """Change what holds up parsing."""
+        """Set the two conditions that block parsing."""
         self._streamed_request = streamed_request
         self._stream_full = stream_full
         self.is_blocked = stream_full or streamed_request is not None
@@ -89,11 +89,11 @@
         self._events.on_body_discarded()
 
     def on_continue_expected(self) -> None:
-        """Pass on that the client waits for ``100 Continue``."""
+        """Report that the client waits for ``100 Continue``."""
         self._events.on_continue_expected()
 
     def on_stream_started(self, received: ReceivedRequest) -> None:
-        """Hold a request whose body is streamed until its turn."""
+        """Hold a request with a streamed body until its turn."""
         received.outbound.has_client_left = self._events.has_disconnected
         self._update_blocking(received, self._stream_full)
 
@@ -103,14 +103,14 @@
         """Handle the last byte of a streamed body."""
         self._timeouts.restart(time.monotonic())
         if self._streamed_request is not None:
-            self._queue_whole(request_stream, received, keep_alive)
+            self._queue_buffered(request_stream, received, keep_alive)
         else:
             self._events.on_stream_ended(request_stream, keep_alive)
 
-    def _queue_whole(
+    def _queue_buffered(
         self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
     ) -> None:
-        """Queue a request whose body was complete before its turn: it need not be streamed."""
+        """Queue a request whose body was complete before its turn, so that it need not be streamed."""
         received.outbound.body = request_stream.buffered()
         received.outbound.request_stream = None
         received.request.long = False
@@ -120,15 +120,15 @@
     # --- source of the streamed body ------------------------------------------------------------------
 
     def pause(self) -> None:
-        """Read nothing until the streamed body has been forwarded."""
+        """Pause reading until the buffered part of the streamed body has been forwarded."""
         self._update_blocking(self._streamed_request, stream_full=True)
         self._events.regulate_reading()
 
     def resume(self) -> None:
-        """Read more of the streamed body."""
+        """Resume reading the streamed body."""
         self._update_blocking(self._streamed_request, stream_full=False)
         self._events.regulate_reading()
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed, as the system tells."""
+        """Return whether the operating system reports that the client has disconnected."""
         return self._events.has_disconnected()
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -18,17 +18,17 @@
 
 
 class WriterEvents(Protocol):
-    """Receives the end of a streamed response."""
+    """The receiver of the writer's events, which report the end of a streamed response."""
 
     def on_response_written(self) -> None:
-        """Handle a streamed response that is complete."""
+        """Handle the end of a complete streamed response."""
 
     def on_response_truncated(self) -> None:
-        """Handle a streamed response that ended early: the client must see that it is incomplete."""
+        """Handle a truncated streamed response: the client must see that it is incomplete."""
 
 
 class ResponseWriter:
-    """Write responses, and read streamed ones from their upstream (``streams.Reader``)."""
+    """Write responses; implements ``streams.Reader`` for streamed ones."""
 
     __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "write_paused")
 
@@ -38,10 +38,10 @@
         self._counters = counters
         self._transport: asyncio.Transport
         self._stream: ResponseStream | None = None
-        self.write_paused = False  # the client does not accept more output for now
+        self.write_paused = False  # the client does not accept more output at present
 
     def connected(self, transport: asyncio.Transport) -> None:
-        """Start to write to a transport."""
+        """Set the transport to write to."""
         self._transport = transport
 
     def is_streaming(self) -> bool:
@@ -49,7 +49,7 @@
         return self._stream is not None
 
     def write_continue(self) -> None:
-        """Invite the client to send the body that it holds back."""
+        """Write ``100 Continue``: the client may send the body that it holds back."""
         self._transport.write(_CONTINUE)
 
     def write_health(self, healthy: bool, close: bool) -> None:
@@ -73,14 +73,14 @@
     # --- streamed responses ---------------------------------------------------------------------------
 
     def _start_stream(self, stream: ResponseStream, close: bool) -> None:
-        """Write the head, and let the body follow as it arrives."""
+        """Write the head; the body follows as it arrives."""
         self._stream = stream
         self._timeouts.restart(time.monotonic())
         self._transport.write(http.head(200, stream.length, close=close))
         stream.attach(self)
 
     def body(self, chunks: http.Body) -> None:
-        """Write more of the streamed body."""
+        """Write a part of the streamed body."""
         assert self._stream is not None
         self._timeouts.restart(time.monotonic())
         self._transport.write(b"".join(http.chunk(chunks, False) if self._stream.length < 0 else chunks))
@@ -100,20 +100,20 @@
         self._events.on_response_written()
 
     def abandon_stream(self) -> None:
-        """Give up the streamed response, if there is one."""
+        """Cancel the streamed response, if there is one."""
         stream = self._stream
         self._stream = None
         if stream is not None:
             stream.cancel()
 
     def pause(self) -> None:
-        """Stop the streamed response: the client does not accept more for now."""
+        """Pause the streamed response: the client does not accept more output at present."""
         self.write_paused = True
         if self._stream is not None:
             self._stream.pause()
 
     def resume(self) -> None:
-        """Continue the streamed response."""
+        """Continue the streamed response after a pause."""
         self.write_paused = False
         if self._stream is not None:
             self._stream.resume()
