--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -1,5 +1,5 @@
-"""Requests that are pipelined on one client connection: each that was read has one response, in order; only
-broken framing ends the connection, after the responses to what came before it."""
+"""Requests that are pipelined on one client connection: each that was read gets one response, in order. Only
+broken framing ends the connection, after the responses to the requests before it."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 from tests.test_endings import HEALTH, Held
 from tests.test_net import OverloadedHandler
 
-LONG = b"z" * 150_000
+LONG_BODY = b"z" * 150_000
 PAY, LAST = request("pay", b"one"), request("pay", b"last")
-BAD_CHUNK = request("odd", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
+INVALID_CHUNKED_HEAD = request("odd", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
 
 
-def without(name: bytes, raw: bytes) -> bytes:
+def without_header(name: bytes, raw: bytes) -> bytes:
     """Return a request without one of its headers."""
     return re.sub(name + rb": [^\r]*\r\n", b"", raw)
 
 
-def codes_of(conn: socket.socket) -> list[int]:
-    """Return the status codes of all responses up to the end of the stream."""
-    file, found = conn.makefile("rb"), []
+def read_status_codes(conn: socket.socket) -> list[int]:
+    """Read all responses up to the end of the stream; return their status codes."""
+    file, codes = conn.makefile("rb"), []
     while file.peek(1):
-        found.append(read_answer(file)[0])
-    return found
+        codes.append(read_answer(file)[0])
+    return codes
 
 
 @pytest.mark.parametrize(
@@ -55,25 +55,25 @@
         (HEALTH * 5000, [200] * 5000),
         (b"GET / HTTP/1.1\r\n\r\n" * 1000, [400] * 1000),
         (request("odd", b"x") * 3, [400] * 3),
-        (without(b"Request-Id", PAY), [400]),
-        (without(b"Request-Timeout-Ms", PAY), [400]),
+        (without_header(b"Request-Id", PAY), [400]),
+        (without_header(b"Request-Timeout-Ms", PAY), [400]),
         (request("pay", b"x", wait_ms=-5), [400]),
-        (request("order", b"x"), [400]),  # without its Idempotency-Key
+        (request("order", b"x"), [400]),  # without an Idempotency-Key
         (PAY.replace(b"POST", b"PUT"), [405]),
         (PAY.replace(b"/pay", b"/view"), [404]),
-        (request("odd", LONG), [400]),
-        (BAD_CHUNK + b"9000\r\n" + b"x" * 0x9000 + b"\r\n0\r\n\r\n", [400]),
-        (HEALTH.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG, [413]),
-        (request("odd") + request("pay", LONG) + request("odd"), [400, 200, 400]),
+        (request("odd", LONG_BODY), [400]),
+        (INVALID_CHUNKED_HEAD + b"9000\r\n" + b"x" * 0x9000 + b"\r\n0\r\n\r\n", [400]),
+        (HEALTH.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG_BODY, [413]),
+        (request("odd") + request("pay", LONG_BODY) + request("odd"), [400, 200, 400]),
     ],
 )
-def test_each_request_that_was_read_has_its_answer_in_its_place(
+def test_each_request_that_was_read_gets_its_response_in_order(
     tmp_path: Path, between: bytes, codes: list[int]
 ) -> None:
     with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
         conn.sendall(PAY + between + request("pay", b"last", more="Connection: close\r\n"))
-        assert codes_of(conn) == [200, *codes, 200]
+        assert read_status_codes(conn) == [200, *codes, 200]
         assert (upstream.got[0].body, upstream.got[-1].body) == (b"one", b"last")
         assert len(upstream.got) == 2 + codes.count(200) * (between[:9] != HEALTH[:9])
 
@@ -89,27 +89,27 @@
         b"POST /pay/1 HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n",
     ],
 )
-def test_broken_framing_ends_the_connection_after_the_answers_to_what_came_before(
+def test_broken_framing_ends_the_connection_after_the_earlier_responses(
     tmp_path: Path, broken: bytes
 ) -> None:
     with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
         conn.sendall(PAY * 1 + request("odd", b"x") + LAST + broken + request("pay", b"never"))
-        found = codes_of(conn)
-        assert found[:3] == [200, 400, 200] and len(found) == 4 and found[3] in (400, 413, 431)
+        codes = read_status_codes(conn)
+        assert codes[:3] == [200, 400, 200] and len(codes) == 4 and codes[3] in (400, 413, 431)
         assert [message.body for message in upstream.got] == [b"one", b"last"]
 
 
-def test_request_has_one_error_response_even_if_its_body_breaks_off_later(tmp_path: Path) -> None:
+def test_request_gets_one_error_response_even_if_its_body_is_cut_off_later(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
-        conn.sendall(BAD_CHUNK)
+        conn.sendall(INVALID_CHUNKED_HEAD)
         file = conn.makefile("rb")
-        assert read_answer(file)[0] == 400  # before its body has come
+        assert read_answer(file)[0] == 400  # before its body has arrived
         conn.sendall(b"zz\r\n" + PAY)
         assert file.read() == b""
 
 
-def test_streamed_body_that_breaks_off_after_its_response_gets_no_second_one(tmp_path: Path) -> None:
+def test_streamed_body_that_is_cut_off_after_its_response_gets_no_second_one(tmp_path: Path) -> None:
     with running(tmp_path) as (program, _, _d), program.connect() as conn:
         head = request("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         conn.sendall(head + b"20000\r\n" + b"x" * 0x20000 + b"\r\n")
@@ -119,7 +119,7 @@
         assert file.read() == b""
 
 
-def test_error_of_a_head_request_has_no_body_that_its_client_does_not_expect(tmp_path: Path) -> None:
+def test_error_response_to_a_head_request_has_no_body(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
         conn.sendall(request("view").replace(b"GET", b"HEAD") + PAY)
         file = conn.makefile("rb")
@@ -128,9 +128,10 @@
         assert read_answer(file)[1].body == b"one"
 
 
-def test_duplicate_request_id_is_refused_in_order(tmp_path: Path) -> None:
+def test_duplicate_request_id_is_rejected_in_order(tmp_path: Path) -> None:
     held, quick = Held(), Peer(echo)
-    same = PAY.replace(b"one", LONG).replace(b"Length: 3", b"Length: %d" % len(LONG))  # its body is long
+    # The request id of PAY, with a long body.
+    same = PAY.replace(b"one", LONG_BODY).replace(b"Length: 3", b"Length: %d" % len(LONG_BODY))
     with (
         running(tmp_path, held) as (program, _, discovery),
         program.connect() as other,
@@ -149,7 +150,7 @@
 
 
 def test_long_body_that_is_complete_before_its_turn_does_not_block_reading(tmp_path: Path) -> None:
-    """Reading resumes once the body need not be streamed any more."""
+    """Reading resumes, because the body need not be streamed any more."""
     chunks = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
     long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + chunks
     with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
@@ -176,15 +177,15 @@
         assert read_answer(file)[1].body == b"late"
 
 
-def test_requests_that_ran_out_of_time_behind_another_are_refused_and_never_sent(tmp_path: Path) -> None:
-    """Their budget has run since they arrived. Forwarded, they would count as late responses of the
-    upstreams."""
+def test_requests_that_ran_out_of_time_behind_another_are_rejected_and_never_sent(tmp_path: Path) -> None:
+    """Their budgets have been running since they arrived. If they were forwarded, their late responses would
+    count against the upstreams."""
     with running(tmp_path, Held(), Held()) as (program, upstreams, _), program.connect() as conn:
         ahead = b"".join(request("pay", b"x", wait_ms=300) for _ in range(20))
         conn.sendall(request("pay", b"first", wait_ms=1000) + ahead + LAST)
         file = conn.makefile("rb")
-        found = [read_answer(file)[0] for _ in range(21)]
-        assert found == [500] + [503] * 20
+        codes = [read_answer(file)[0] for _ in range(21)]
+        assert codes == [500] + [503] * 20
         until(lambda: sum(len(upstream.got) for upstream in upstreams) == 2)
         for upstream in upstreams:
             upstream.let.set()  # type: ignore[attr-defined]
@@ -194,7 +195,7 @@
         assert "shedding load" not in program.log.read_text()
 
 
-def test_what_was_read_when_the_process_ends_has_its_answer(tmp_path: Path) -> None:
+def test_requests_read_before_shutdown_get_their_responses(tmp_path: Path) -> None:
     with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
         conn.sendall(
@@ -202,16 +203,16 @@
         )
         until(lambda: len(upstream.got) == 1)
         program.process.send_signal(signal.SIGTERM)
-        found = codes_of(conn)
-        assert len(found) == 62 and set(found[:60]) <= {500, 503} and found[60:] == [503, 400]
+        codes = read_status_codes(conn)
+        assert len(codes) == 62 and set(codes[:60]) <= {500, 503} and codes[60:] == [503, 400]
         assert program.process.wait(WAIT) == 0 and program.last_counters()["requests_unanswered"] == 0
 
 
-# --- in this process --------------------------------------------------------------------------------------
+# --- a client connection in the test's process -------------------------------------------------------------
 
 
 class Handler(OverloadedHandler):
-    """A sidecar that responds with the request's body, unless it is ``slow``: then the test responds."""
+    """A sidecar that responds with the request's body; if it is ``slow``, the test responds instead."""
 
     overloaded = False
 
@@ -219,7 +220,7 @@
         self.slow = slow
         self.faulty = faulty
         self.request_ids: list[str] = []
-        self.budget = 0.0  # of the last one
+        self.budget = 0.0  # of the latest request
 
     def shed_early(
         self, connection: ClientConnection, arrived: float, class_name: str, budget: float
@@ -241,132 +242,132 @@
             )
 
 
-async def connected(handler: Handler) -> tuple[ClientConnection, socket.socket, Counters]:
-    """Return a connection, the client's socket and the counters."""
-    near, far = socket.socketpair()
-    near.setblocking(False)
+async def open_connection(handler: Handler) -> tuple[ClientConnection, socket.socket, Counters]:
+    """Open a connection; return it, the client's socket and the counters."""
+    server_socket, client_socket = socket.socketpair()
+    server_socket.setblocking(False)
     counters = Counters("t")
     _, connection = await asyncio.get_running_loop().create_connection(
-        lambda: ClientConnection(handler, counters), sock=near
+        lambda: ClientConnection(handler, counters), sock=server_socket
     )
-    return connection, far, counters
+    return connection, client_socket, counters
 
 
-async def read_to_the_end(far: socket.socket) -> list[bytes]:
-    """Return the status codes of all responses."""
-    far.setblocking(False)
+async def read_status_codes_to_end(client_socket: socket.socket) -> list[bytes]:
+    """Read all responses up to the end of the stream; return their status codes."""
+    client_socket.setblocking(False)
     got = b""
-    while data := await asyncio.get_running_loop().sock_recv(far, 65536):
+    while data := await asyncio.get_running_loop().sock_recv(client_socket, 65536):
         got += data
-    far.close()
+    client_socket.close()
     return re.findall(rb"HTTP/1.1 (\d+)", got)
 
 
 def test_internal_error_while_reading_leaves_earlier_requests_to_be_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def faulty(method: bytes, *args: Any) -> ReceivedRequest:
+    def read_request_or_raise(method: bytes, *args: Any) -> ReceivedRequest:
         if method == b"PUT":
             raise KeyError("a fault")
         return read_request(method, *args)
 
-    monkeypatch.setattr("indigokeel.net.downstream.request_parser.read_request", faulty)
+    monkeypatch.setattr("indigokeel.net.downstream.request_parser.read_request", read_request_or_raise)
 
-    async def play() -> tuple[list[bytes], Counters]:
-        _, far, counters = await connected(Handler())
-        far.sendall(PAY + LAST + PAY.replace(b"POST", b"PUT") + PAY)
-        return await read_to_the_end(far), counters
+    async def run_scenario() -> tuple[list[bytes], Counters]:
+        _, client_socket, counters = await open_connection(Handler())
+        client_socket.sendall(PAY + LAST + PAY.replace(b"POST", b"PUT") + PAY)
+        return await read_status_codes_to_end(client_socket), counters
 
-    codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
+    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
     assert codes == [b"200", b"200", b"500"] and counters["client_connection_faults"] == 1
 
 
-def test_fault_in_one_connection_answers_what_was_read() -> None:
-    raws = [request("pay", b"%d" % number) for number in range(5)]
-    third = re.search(rb"Request-Id: (\w+)", raws[2])
-    assert third is not None
-    handler = Handler(faulty=lambda request: request.id == third[1].decode())
+def test_internal_error_in_serving_gives_an_error_response_to_each_remaining_request() -> None:
+    raw_requests = [request("pay", b"%d" % number) for number in range(5)]
+    third_request_id = re.search(rb"Request-Id: (\w+)", raw_requests[2])
+    assert third_request_id is not None
+    handler = Handler(faulty=lambda request: request.id == third_request_id[1].decode())
 
-    async def play() -> tuple[list[bytes], Counters]:
-        _, far, counters = await connected(handler)
-        far.sendall(b"".join(raws) + HEALTH)
-        return await read_to_the_end(far), counters
+    async def run_scenario() -> tuple[list[bytes], Counters]:
+        _, client_socket, counters = await open_connection(handler)
+        client_socket.sendall(b"".join(raw_requests) + HEALTH)
+        return await read_status_codes_to_end(client_socket), counters
 
-    codes, counters = asyncio.run(asyncio.wait_for(play(), WAIT))
+    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
     assert codes == [b"200"] * 2 + [b"500"] * 4
     assert (counters["client_connection_faults"], len(handler.request_ids)) == (1, 2)
 
 
-@pytest.mark.parametrize("small", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
-def test_what_is_read_ahead_is_bounded_however_much_comes_at_once(small: bytes) -> None:
-    async def play() -> tuple[int, bool]:
-        connection, far, _ = await connected(Handler(slow=True))
-        far.setblocking(False)
-        sent = far.send(PAY + small * (200_000 // len(small)))
-        most = 0
+@pytest.mark.parametrize("raw_request", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
+def test_read_ahead_is_limited_however_much_arrives_at_once(raw_request: bytes) -> None:
+    async def run_scenario() -> tuple[int, bool]:
+        connection, client_socket, _ = await open_connection(Handler(slow=True))
+        client_socket.setblocking(False)
+        sent = client_socket.send(PAY + raw_request * (200_000 // len(raw_request)))
+        max_queued = 0
         for _ in range(50):
             await asyncio.sleep(0)
-            waiting = connection._input.pipeline
-            most = max(most, len(waiting._requests))
+            pipeline = connection._input.pipeline
+            max_queued = max(max_queued, len(pipeline._requests))
         assert sent > 50_000 and connection.has_unread_input()
         paused = connection._input.flow.paused_at > 0.0
-        far.close()
+        client_socket.close()
         await asyncio.sleep(0.01)
-        return most, paused
+        return max_queued, paused
 
-    most, paused = asyncio.run(play())
-    assert paused and MAX_QUEUED_REQUESTS <= most <= MAX_QUEUED_REQUESTS + 2048 // 18 + 1
+    max_queued, paused = asyncio.run(run_scenario())
+    assert paused and MAX_QUEUED_REQUESTS <= max_queued <= MAX_QUEUED_REQUESTS + 2048 // 18 + 1
 
 
-def test_request_that_came_while_nothing_was_read_has_no_more_time_than_its_client() -> None:
-    async def play() -> list[float]:
+def test_budget_of_a_request_includes_its_wait_while_reading_was_paused() -> None:
+    async def run_scenario() -> list[float]:
         handler, budgets = Handler(slow=True), []
-        connection, far, _ = await connected(handler)
-        far.sendall(b"".join(request("pay", b"x") for _ in range(1 + MAX_QUEUED_REQUESTS)))
+        connection, client_socket, _ = await open_connection(handler)
+        client_socket.sendall(b"".join(request("pay", b"x") for _ in range(1 + MAX_QUEUED_REQUESTS)))
         while not connection._input.flow.paused_at:
             await asyncio.sleep(0.001)
-        far.sendall(request("pay", b"late"))
+        client_socket.sendall(request("pay", b"late"))
         await asyncio.sleep(0.2)
         for number in range(1, 3 + MAX_QUEUED_REQUESTS):
             while len(handler.request_ids) < number:
                 await asyncio.sleep(0.001)
             budgets.append(handler.budget)
             connection.send_final_response(FinalResponse(FinalStatus.SERVED))
-        far.close()
+        client_socket.close()
         return budgets
 
-    budgets = asyncio.run(asyncio.wait_for(play(), WAIT))
+    budgets = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
     assert budgets[0] <= 5.0 and all(budget <= 4.8 for budget in budgets[1:])
 
 
 @pytest.mark.parametrize(
-    "sent", [b"", PAY, PAY[:-1], request("odd"), b"noise\r\n\r\n", request("pay", LONG)[:100_000]]
+    "sent", [b"", PAY, PAY[:-1], request("odd"), b"noise\r\n\r\n", request("pay", LONG_BODY)[:100_000]]
 )
 def test_closed_connection_is_freed_without_the_garbage_collector(sent: bytes) -> None:
-    async def play() -> weakref.ref[ClientConnection]:
-        connection, far, _ = await connected(Handler())
-        found = weakref.ref(connection)
-        far.sendall(sent)
+    async def run_scenario() -> weakref.ref[ClientConnection]:
+        connection, client_socket, _ = await open_connection(Handler())
+        connection_ref = weakref.ref(connection)
+        client_socket.sendall(sent)
         await asyncio.sleep(0.01)
-        far.close()
+        client_socket.close()
         del connection
         await asyncio.sleep(0.01)
-        return found
+        return connection_ref
 
     gc.disable()
     try:
-        assert asyncio.run(play())() is None
+        assert asyncio.run(run_scenario())() is None
     finally:
         gc.enable()
 
 
-def test_connection_that_never_comes_up_is_freed_without_the_garbage_collector() -> None:
+def test_connection_that_is_never_made_is_freed_without_the_garbage_collector() -> None:
     gc.disable()
     try:
         connection = ClientConnection(Handler(), Counters("t"))
-        found = weakref.ref(connection)
-        dispatcher = weakref.ref(connection._dispatcher)
+        connection_ref = weakref.ref(connection)
+        dispatcher_ref = weakref.ref(connection._dispatcher)
         del connection
-        assert found() is None and dispatcher() is None
+        assert connection_ref() is None and dispatcher_ref() is None
     finally:
         gc.enable()
