--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies of requests and responses, through the program on real sockets."""
+"""Long bodies of requests and responses, sent through the program on real sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     until,
 )
 
-LONG = os.urandom(1 << 20)
+LONG_BODY = os.urandom(1 << 20)
 
 
 def chunked(body: bytes, size: int) -> bytes:
@@ -46,10 +46,10 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        ok(LONG),
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n" + chunked(LONG, 7000),
-        b"!HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG,
-        b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1048576 \r\n\r\n" + LONG,
+        ok(LONG_BODY),
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked \r\n\r\n" + chunked(LONG_BODY, 7000),
+        b"!HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LONG_BODY,
+        b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1048576 \r\n\r\n" + LONG_BODY,
     ],
 )
 def test_long_response_is_complete_and_its_connection_reused(tmp_path: Path, answer: bytes) -> None:
@@ -58,7 +58,7 @@
         for _ in range(3):
             conn.sendall(request())
             code, got = read_answer(file)
-            assert code == 200 and got.body == LONG
+            assert code == 200 and got.body == LONG_BODY
         counters = program.counters()
         assert (counters["requests_served"], counters["answers_begun"], counters["requests_unanswered"]) == (
             3,
@@ -73,67 +73,67 @@
         assert program.ask(request("pay", b"x"))[1].body == b"to the end"
 
 
-def test_truncated_long_response_is_visible_and_not_retried(tmp_path: Path) -> None:
-    with running(tmp_path, lambda _: b"!" + ok(LONG)[:-9]) as (program, upstreams, _):
+def test_truncated_long_response_is_visible_to_the_client_and_not_retried(tmp_path: Path) -> None:
+    with running(tmp_path, lambda _: b"!" + ok(LONG_BODY)[:-9]) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(request())
             file = conn.makefile("rb")
             code, answer = read_answer(file)
-            assert code == 200 and len(answer.body) < int(answer.headers["content-length"]) == len(LONG)
+            assert code == 200 and len(answer.body) < int(answer.headers["content-length"]) == len(LONG_BODY)
         assert len(upstreams[0].got) == 1 and program.counters()["answers_cut_off"] == 1
 
 
-def test_32_mb_to_a_slow_reader_take_no_memory(tmp_path: Path) -> None:
+def test_32_mb_response_to_a_slow_reader_takes_little_memory(tmp_path: Path) -> None:
     with running(tmp_path, Raw(long_answer)) as (program, _, _d):
         assert program.counters()["requests_unanswered"] == 0
-        before, most, got = rss(program), 0, 0
+        before, max_rss, got = rss(program), 0, 0
         with program.connect() as conn:
             conn.sendall(request())
             file = conn.makefile("rb")
             assert file.readline().startswith(b"HTTP/1.1 200")
             while file.readline().strip():
                 pass
-            time.sleep(0.3)  # reads nothing for a while: what was sent waits at the upstream
+            time.sleep(0.3)  # the client reads nothing for a while, so that the rest waits at the upstream
             while got < SIZE:
                 data = file.read(min(1 << 20, SIZE - got))
                 assert data and data == BLOCK[: len(data)]
                 got += len(data)
-                most = max(most, rss(program))
+                max_rss = max(max_rss, rss(program))
         until(lambda: program.counters()["upstream_connections_open"] <= 1)
-        assert most - before < 4096 and rss(program) - before < 4096  # kB
+        assert max_rss - before < 4096 and rss(program) - before < 4096  # kB
 
 
 def test_reset_after_the_last_byte_gives_a_complete_or_visibly_truncated_response(tmp_path: Path) -> None:
     def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
-        conn.sendall(ok(LONG))
+        conn.sendall(ok(LONG_BODY))
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         conn.close()
         file.close()
 
     with running(tmp_path, Raw(exchange)) as (program, _, _d):
-        short = 0
+        truncated = 0
         for _ in range(5):
             with program.connect() as conn:
                 conn.sendall(request())
                 code, answer = read_answer(conn.makefile("rb"))
-                short += len(answer.body) < len(LONG)
-                assert code == 200 and LONG.startswith(answer.body)
-                assert answer.headers["content-length"] == str(len(LONG))
+                truncated += len(answer.body) < len(LONG_BODY)
+                assert code == 200 and LONG_BODY.startswith(answer.body)
+                assert answer.headers["content-length"] == str(len(LONG_BODY))
         counters = program.counters()
         assert counters["requests_unanswered"] == 0 and counters["answers_begun"] == 5
-        # The reset is reported at once, before the timeout of a stalled stream.
-        assert counters.get("answers_cut_off", 0) == short
+        # The reset is reported at once, not by the timeout of a stalled stream.
+        assert counters.get("answers_cut_off", 0) == truncated
 
 
-def test_reset_behind_half_a_response_is_detected_at_once(tmp_path: Path) -> None:
+def test_reset_after_half_a_response_is_detected_at_once(tmp_path: Path) -> None:
     process: list[subprocess.Popen[bytes]] = []
 
     def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
-        process[0].send_signal(signal.SIGSTOP)  # so that it hears of both in one
+        process[0].send_signal(signal.SIGSTOP)  # the sidecar then sees the data and the reset in one turn
         conn.sendall(ok(b"x" * 100)[:-50])
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         conn.close()
@@ -156,7 +156,7 @@
         try:
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (1 << 30))
             while True:
-                conn.sendall(LONG)
+                conn.sendall(LONG_BODY)
         except OSError:
             ended.set()
 
@@ -169,14 +169,14 @@
 
 
 def test_sigterm_during_a_long_response_lets_it_complete(tmp_path: Path) -> None:
-    go = threading.Event()
+    proceed = threading.Event()
 
     def exchange(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
-        conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG) + LONG[:100_000])
-        assert go.wait(WAIT)
-        conn.sendall(LONG[100_000:])
+        conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100_000])
+        assert proceed.wait(WAIT)
+        conn.sendall(LONG_BODY[100_000:])
 
     with running(tmp_path, Raw(exchange)) as (program, _, _d), program.connect() as conn:
         conn.sendall(request())
@@ -184,10 +184,10 @@
         first = file.readline()
         program.process.send_signal(signal.SIGTERM)
         until(lambda: "stopping" in program.log.read_text())
-        go.set()
+        proceed.set()
         while file.readline().strip():
             pass
-        assert first.startswith(b"HTTP/1.1 200") and file.read(len(LONG)) == LONG
+        assert first.startswith(b"HTTP/1.1 200") and file.read(len(LONG_BODY)) == LONG_BODY
         assert program.process.wait(WAIT) == 0
 
 
@@ -199,9 +199,9 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        _post(LONG, f"Content-Length:  {len(LONG)} \r\n"),
-        _post(chunked(LONG, 9000), "Transfer-Encoding: chunked\r\n"),
-        _post(chunked(LONG, 300_000), "Transfer-Encoding:chunked \r\nExpect: 100-continue\r\n"),
+        _post(LONG_BODY, f"Content-Length:  {len(LONG_BODY)} \r\n"),
+        _post(chunked(LONG_BODY, 9000), "Transfer-Encoding: chunked\r\n"),
+        _post(chunked(LONG_BODY, 300_000), "Transfer-Encoding:chunked \r\nExpect: 100-continue\r\n"),
     ],
 )
 @pytest.mark.parametrize("slow", [False, True])
@@ -229,32 +229,34 @@
             code, answer = read_answer(file)
             if code == 100:
                 code, answer = read_answer(file)
-            assert (code, answer.body) == (200, b"took %d" % len(LONG))
-        assert bodies == [LONG, LONG]
+            assert (code, answer.body) == (200, b"took %d" % len(LONG_BODY))
+        assert bodies == [LONG_BODY, LONG_BODY]
         assert program.counters()["requests_unanswered"] == 0
 
 
 def test_timeout_of_a_long_request_starts_at_its_last_byte(tmp_path: Path) -> None:
-    """Sent for longer than its client will wait for the answer, and served."""
+    """Sending takes longer than the client's timeout for the response, but the request is served."""
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
-        raw = request("pay", LONG, wait_ms=300)
+        raw = request("pay", LONG_BODY, wait_ms=300)
         conn.sendall(raw[:200_000])
         time.sleep(0.5)
         conn.sendall(raw[200_000:])
-        assert read_answer(conn.makefile("rb"))[1].body == LONG
+        assert read_answer(conn.makefile("rb"))[1].body == LONG_BODY
 
 
 def test_truncated_long_request_is_never_complete_at_the_upstream(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
-            conn.sendall(request("pay", LONG)[:-9])
+            conn.sendall(request("pay", LONG_BODY)[:-9])
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
         until(lambda: program.counters()["requests_unanswered"] == 0)
         until(lambda: program.counters()["upstream_connections_open"] == 0)
-        assert all(len(message.body) <= len(LONG) - 9 for message in upstreams[0].got)
+        assert all(len(message.body) <= len(LONG_BODY) - 9 for message in upstreams[0].got)
 
 
-def test_long_request_without_an_upstream_is_answered_at_once_and_read_to_its_end(tmp_path: Path) -> None:
+def test_long_request_without_an_upstream_gets_its_response_at_once_and_is_read_to_its_end(
+    tmp_path: Path,
+) -> None:
     closed = socket.create_server(("127.0.0.1", 0))
     port = closed.getsockname()[1]
     closed.close()
@@ -263,7 +265,7 @@
     try:
         with program.connect() as conn:
             file = conn.makefile("rb")
-            raw = request("pay", LONG)
+            raw = request("pay", LONG_BODY)
             conn.sendall(raw[:300_000])
             code, answer = read_answer(file)  # before the rest is sent
             assert code == 503 and "retry-after" in answer.headers
@@ -276,23 +278,23 @@
         discovery.close()
 
 
-def test_long_request_waits_for_the_one_before_it_on_its_connection(tmp_path: Path) -> None:
-    go = threading.Event()
+def test_long_request_waits_for_the_request_before_it_on_its_connection(tmp_path: Path) -> None:
+    proceed = threading.Event()
 
     def upstream(message: Message) -> bytes:
         if message.body == b"first":
-            assert go.wait(WAIT)
+            assert proceed.wait(WAIT)
         return echo(message)
 
     with running(tmp_path, upstream) as (program, _, _d), program.connect() as conn:
         sender = threading.Thread(
-            target=conn.sendall, args=(request("pay", b"first") + request("pay", LONG),)
+            target=conn.sendall, args=(request("pay", b"first") + request("pay", LONG_BODY),)
         )
         sender.start()
         until(lambda: program.counters().get("requests_accepted", 0) == 1)
-        go.set()
+        proceed.set()
         file = conn.makefile("rb")
         assert read_answer(file)[1].body == b"first"
         code, answer = read_answer(file)
-        assert (code, answer.body) == (200, LONG)
+        assert (code, answer.body) == (200, LONG_BODY)
         sender.join()
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,5 +1,5 @@
-"""Crowds that exhaust the descriptors, and an event loop that runs late: no response is truncated, no
-request is sent for a client that has gone, and eviction is cheap."""
+"""More clients than descriptors, and an event loop that runs late: no response is truncated, no request is
+sent for a client that has disconnected, and eviction is cheap."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from tests.peers import Message, Program, ok, read_answer, request, running, status, until
 from tests.test_endings import BIG, LEAVING
 
-SOCKETS = 64  # of these, 17 for clients
-CLIENTS = 17
+SOCKETS = 64  # descriptors of the process, of which 17 are for clients
+MAX_CLIENTS = 17
 
 
 @contextlib.contextmanager
 def stopped(program: Program) -> Iterator[None]:
-    """Stop the process, so that its event loop finds all that arrives meanwhile at once."""
+    """Stop the process, so that its event loop later sees all that arrives meanwhile in one turn."""
     os.kill(program.process.pid, signal.SIGSTOP)
     until(lambda: _state(program) == "T")
     yield
@@ -38,24 +38,23 @@
     return Path(f"/proc/{program.process.pid}/stat").read_text().rpartition(") ")[2][0]
 
 
-# --- a client that has left before the loop reads its request -------------------------------------------
+# --- a client that disconnects before the event loop reads its request ----------------------------------
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("disconnect", LEAVING)
 def test_request_read_after_its_client_disconnected_is_not_forwarded(
-    tmp_path: Path, leave: Callable[[socket.socket], None]
+    tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
-    """The loop reads the request first, while the end of the stream has arrived behind it."""
+    """The event loop reads the request first; the end of the stream has already arrived behind it."""
     with running(tmp_path, lambda message: ok(message.body)) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"0"))
         assert read_answer(conn.makefile("rb"))[0] == 200
-        until(
-            lambda: program.counters()["upstream_connections_idle"] == 1
-        )  # the attempt need not wait for one
+        # The next attempt need not wait for a connection.
+        until(lambda: program.counters()["upstream_connections_idle"] == 1)
         with stopped(program):
             conn.sendall(request("pay", b"1"))
-            leave(conn)
+            disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
         assert program.ask(request("pay", b"2"))[1].body == b"2"
         assert [message.body for message in upstream.got] == [b"0", b"2"]
@@ -68,38 +67,38 @@
         conn.close()
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_further_attempt_is_not_begun_once_its_client_has_left(
-    tmp_path: Path, leave: Callable[[socket.socket], None]
+@pytest.mark.parametrize("disconnect", LEAVING)
+def test_retry_is_not_sent_once_its_client_has_disconnected(
+    tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
-    """The first attempt is rejected and then the client leaves, before the loop runs again."""
-    let = threading.Event()
+    """The first attempt is rejected and then the client disconnects, before the event loop runs again."""
+    release = threading.Event()
 
-    def full(message: Message) -> bytes:
-        let.wait(20.0)
+    def reject(message: Message) -> bytes:
+        release.wait(20.0)
         return status(503, "Not-Started: 1\r\n")
 
-    with running(tmp_path, full, full) as (program, upstreams, _):
+    with running(tmp_path, reject, reject) as (program, upstreams, _):
         conn = program.connect()
         conn.sendall(request("view"))
         until(lambda: sum(len(upstream.got) for upstream in upstreams) == 1)
         held = next(upstream for upstream in upstreams if upstream.got)
         with stopped(program):
-            let.set()
+            release.set()
             until(lambda: held.answered == 1)
-            leave(conn)
+            disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
         assert sum(len(upstream.got) for upstream in upstreams) == 1
         assert program.counters()["requests_unanswered"] == 0
         conn.close()
 
 
-# --- making room ------------------------------------------------------------------------------------------
+# --- eviction ---------------------------------------------------------------------------------------------
 
 
-def test_answer_that_its_client_has_not_got_yet_is_not_cut_off_to_make_room(tmp_path: Path) -> None:
-    """The response is in the system's queue, because the client reads slowly, and there is unread input: a
-    close would reset the connection and discard the response."""
+def test_eviction_does_not_truncate_a_response_that_its_client_has_not_received_yet(tmp_path: Path) -> None:
+    """The client reads slowly, so that the response is in the system's send buffer, and there is unread
+    input: a close would reset the connection and discard the response."""
     with (
         running(tmp_path, lambda _: ok(BIG), sockets=SOCKETS) as (program, _upstreams, _d),
         socket.socket() as conn,
@@ -114,7 +113,7 @@
             while True:
                 conn.send(b"x" * 65536)
         others = []
-        for _ in range(CLIENTS + 3):
+        for _ in range(MAX_CLIENTS + 3):
             other = program.connect()
             others.append(other)
             other.sendall(request("pay", b"2"))
@@ -127,29 +126,29 @@
 
 
 def test_evicted_partial_request_gets_a_response_first(tmp_path: Path) -> None:
-    """Its sender may be about to write the last byte: a close without a response would lose the request."""
+    """Its client may be about to send the last byte: a close without a response would lose the request."""
     with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _upstreams, _d):
-        whole = [request("pay", b"%d" % number) for number in range(CLIENTS)]
-        halves = [program.connect() for _ in whole]
-        for conn, message in zip(halves, whole, strict=True):
+        messages = [request("pay", b"%d" % number) for number in range(MAX_CLIENTS)]
+        partial_clients = [program.connect() for _ in messages]
+        for conn, message in zip(partial_clients, messages, strict=True):
             conn.sendall(message[:-1])
-        until(lambda: program.counters()["client_connections_open"] >= CLIENTS)
-        time.sleep(0.6)  # past the time after which they count as stalled; longer does no harm
+        until(lambda: program.counters()["client_connections_open"] >= MAX_CLIENTS)
+        time.sleep(0.6)  # until the requests count as stalled; a longer wait does no harm
         for number in range(5):
             assert program.ask(request("pay", b"x%d" % number))[1].body == b"x%d" % number
-        refused = 0
-        for conn, message in zip(halves, whole, strict=True):
+        error_responses = 0
+        for conn, message in zip(partial_clients, messages, strict=True):
             with contextlib.suppress(OSError):
                 conn.sendall(message[-1:])
             code, answer = read_answer(conn.makefile("rb"))
             assert code == 200 and answer.body in message or code in (408, 503)
-            refused += code != 200
+            error_responses += code != 200
             conn.close()
-        assert refused > 0 and program.counters()["requests_unanswered"] == 0
+        assert error_responses > 0 and program.counters()["requests_unanswered"] == 0
 
 
 class _Handler:
-    """The sidecar, as far as a connection with a partial request needs it."""
+    """The part of the sidecar that a connection with a partial request needs."""
 
     overloaded = closing = False
 
@@ -163,24 +162,24 @@
 
 
 def test_request_whose_last_byte_is_unread_has_not_stalled() -> None:
-    ours, theirs = socket.socketpair()
-    with ours, theirs:
+    server_socket, client_socket = socket.socketpair()
+    with server_socket, client_socket:
         connection = ClientConnection(cast(Handler, _Handler()), Counters("n0"))
-        connection.connection_made(_Transport(ours))
+        connection.connection_made(_Transport(server_socket))
         connection.data_received(b"GET /view/k1 HT")
         late = time.monotonic() + 10.0
         assert connection.stalled_for(late) > 9.0 and not connection.has_unread_input()
-        theirs.sendall(b"TP/1.1\r\n\r\n")
+        client_socket.sendall(b"TP/1.1\r\n\r\n")
         assert connection.stalled_for(late) == 0.0 and connection.has_unread_input()
 
 
-def test_crowd_beyond_the_descriptors_leaves_other_requests_their_responses(tmp_path: Path) -> None:
-    """A crowd of which a third sends nothing, a third half a request, and a third one request and stays."""
+def test_more_clients_than_descriptors_leave_other_requests_their_responses(tmp_path: Path) -> None:
+    """Of the clients, a third send nothing, a third half a request, and a third one request and stay."""
     with running(tmp_path, lambda message: ok(message.body), sockets=SOCKETS) as (program, _upstreams, _d):
-        crowd = []
+        clients = []
         for number in range(60):
             conn = program.connect()
-            crowd.append(conn)
+            clients.append(conn)
             if number % 3 == 1:
                 conn.sendall(request("pay", b"half")[:-2])
             elif number % 3 == 2:
@@ -188,10 +187,10 @@
             answer = program.ask(request("pay", b"%d" % number))
             assert (answer[0], answer[1].body) == (200, b"%d" % number)
         counters = program.counters()
-        assert counters["client_connections_open"] <= CLIENTS + 12  # what the reserve has for them
+        # 12 of the reserved descriptors may be in use as well.
+        assert counters["client_connections_open"] <= MAX_CLIENTS + 12
         assert counters.get("descriptors_exhausted", 0) == 0
-        until(
-            lambda: program.counters()["requests_unanswered"] == 0
-        )  # the crowd's last request may be at work
-        for conn in crowd:
+        # The last request may still be in progress.
+        until(lambda: program.counters()["requests_unanswered"] == 0)
+        for conn in clients:
             conn.close()
--- a/tests/unit/net/downstream/test_client_registry.py
+++ b/tests/unit/net/downstream/test_client_registry.py
@@ -8,7 +8,7 @@
 
 
 class FakeConnection:
-    """A connection as the registry sees it."""
+    """A connection that gives fixed answers to the registry."""
 
     def __init__(self, idle: float = 0.0, stalled: float = 0.0, has_unwritten_output: bool = False) -> None:
         self._idle = idle
@@ -34,16 +34,16 @@
     closing: list[FakeConnection],
     opened_at: float = -10.0,
 ) -> ClientRegistry[FakeConnection]:
-    """Return a registry of these connections, which is full."""
-    connections: ClientRegistry[FakeConnection] = ClientRegistry(1024, len(new + active + closing))
+    """Return a registry that is at its limit with these connections."""
+    registry: ClientRegistry[FakeConnection] = ClientRegistry(1024, len(new + active + closing))
     for connection in (*new, *active, *closing):
-        connections.connection_opened(connection, opened_at)
-        assert not connections.is_over_limit()
+        registry.connection_opened(connection, opened_at)
+        assert not registry.is_over_limit()
     for connection in active:
-        connections.request_received(connection)
+        registry.request_received(connection)
     for connection in closing:
-        connections.connection_closing(connection)
-    return connections
+        registry.connection_closing(connection)
+    return registry
 
 
 _CLOSING = FakeConnection()
@@ -65,58 +65,58 @@
         ([_NEW], [_BUSY, _IDLE, _JUST_IDLE], [], _IDLE),
         ([_NEW], [_BUSY, _JUST_IDLE], [], _NEW),
         ([], [_BUSY, _JUST_IDLE], [], _JUST_IDLE),
-        ([], [_BUSY], [_CLOSING_UNREAD], None),  # the newest itself
+        ([], [_BUSY], [_CLOSING_UNREAD], None),  # the newest itself is evicted
     ],
 )
-def test_connection_evicted_for_the_newest(
+def test_selects_the_connection_to_evict_for_the_newest(
     new: list[FakeConnection],
     active: list[FakeConnection],
     closing: list[FakeConnection],
     evicted: FakeConnection | None,
 ) -> None:
-    connections = make_registry(new, active, closing)
+    registry = make_registry(new, active, closing)
     newest = FakeConnection()
-    connections.connection_opened(newest, 0.0)
-    assert connections.is_over_limit()
-    assert connections.select_eviction(newest, 0.0) is (evicted or newest)
-    for connection in list(connections):
-        connections.connection_closed(connection)
-    assert len(connections) == 0 and not connections.is_crowded()
+    registry.connection_opened(newest, 0.0)
+    assert registry.is_over_limit()
+    assert registry.select_eviction(newest, 0.0) is (evicted or newest)
+    for connection in list(registry):
+        registry.connection_closed(connection)
+    assert len(registry) == 0 and not registry.is_crowded()
 
 
-class CountedConnection(FakeConnection):
-    """Counts how often any such connection is examined at the cost of a system call."""
+class CountingConnection(FakeConnection):
+    """A connection that counts, over all instances, the examinations that would cost a system call."""
 
     examined = 0
 
     def is_idle(self) -> bool:
-        CountedConnection.examined += 1
+        CountingConnection.examined += 1
         return super().is_idle()
 
     def has_unwritten_output(self) -> bool:
-        CountedConnection.examined += 1
+        CountingConnection.examined += 1
         return super().has_unwritten_output()
 
 
 @pytest.mark.parametrize(
     ("new", "active", "closing"),
     [
-        ([CountedConnection(idle=0.1) for _ in range(500)], [CountedConnection(idle=1.0)], []),
-        ([CountedConnection(stalled=0.1) for _ in range(500)], [CountedConnection(idle=3.0)], []),
+        ([CountingConnection(idle=0.1) for _ in range(500)], [CountingConnection(idle=1.0)], []),
+        ([CountingConnection(stalled=0.1) for _ in range(500)], [CountingConnection(idle=3.0)], []),
         (
-            [CountedConnection(idle=1.0) for _ in range(500)],
+            [CountingConnection(idle=1.0) for _ in range(500)],
             [],
-            [CountedConnection(has_unwritten_output=True) for _ in range(500)],
+            [CountingConnection(has_unwritten_output=True) for _ in range(500)],
         ),
     ],
 )
-def test_eviction_examines_a_few_connections_however_many_there_are(
+def test_eviction_examines_a_limited_number_of_connections(
     new: list[FakeConnection], active: list[FakeConnection], closing: list[FakeConnection]
 ) -> None:
-    connections = make_registry(new, active, closing, opened_at=0.0)
-    newest = CountedConnection()
-    connections.connection_opened(newest, 0.2)
-    CountedConnection.examined = 0
+    registry = make_registry(new, active, closing, opened_at=0.0)
+    newest = CountingConnection()
+    registry.connection_opened(newest, 0.2)
+    CountingConnection.examined = 0
     for now in (0.2, 0.25, 0.9):
-        connections.select_eviction(newest, now)
-    assert CountedConnection.examined <= 60
+        registry.select_eviction(newest, now)
+    assert CountingConnection.examined <= 60
--- a/tests/unit/net/downstream/test_client_timeouts.py
+++ b/tests/unit/net/downstream/test_client_timeouts.py
@@ -32,9 +32,7 @@
         (replace(SERVING, streaming_response=True, unwritten_bytes=1), AwaitedEvent.RESPONSE_STREAM_CHUNK),
     ],
 )
-def test_awaited_event_follows_from_the_activity(
-    activity: ConnectionActivity, awaited: AwaitedEvent | None
-) -> None:
+def test_awaited_event_for_each_activity(activity: ConnectionActivity, awaited: AwaitedEvent | None) -> None:
     assert activity.awaited_event() is awaited
 
 
@@ -63,17 +61,17 @@
     assert timeouts.check(103.6, RECEIVING, 32_000) is AwaitedEvent.REST_OF_REQUEST
 
 
-def test_pause_of_reading_is_not_counted() -> None:
+def test_reading_pause_is_not_counted() -> None:
     timeouts = ClientTimeouts()
     timeouts.restart(100.0)
     timeouts.exclude_pause(101.0, 111.0)
     assert timeouts.elapsed_s(111.0) == 1.0
     timeouts.restart(120.0)
-    timeouts.exclude_pause(110.0, 121.0)  # it began before the wait
+    timeouts.exclude_pause(110.0, 121.0)  # the pause began before the wait
     assert timeouts.elapsed_s(121.0) == 0.0
 
 
-def test_wait_starts_anew_with_each_byte_of_output_that_is_accepted() -> None:
+def test_wait_starts_anew_when_some_output_is_accepted() -> None:
     timeouts = ClientTimeouts()
     timeouts.restart(100.0)
     for now, unwritten in ((101.0, 9), (105.0, 8), (109.0, 7)):
--- a/tests/unit/net/downstream/test_request_decoder.py
+++ b/tests/unit/net/downstream/test_request_decoder.py
@@ -1,4 +1,4 @@
-"""Decoding of the head of a client's message into a request."""
+"""The decoder of a client message's head into a request."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 }
 
 
-def read(target: str, method: str = "POST", **changes: str | None) -> ReceivedRequest:
-    headers = {**VALID_HEADERS, **{name.replace("_", "-"): value for name, value in changes.items()}}
+def read(target: str, method: str = "POST", **header_changes: str | None) -> ReceivedRequest:
+    headers = {**VALID_HEADERS, **{name.replace("_", "-"): value for name, value in header_changes.items()}}
     pairs = {n.lower().encode(): value.encode() for n, value in headers.items() if value is not None}
     return read_request(method.encode(), target.encode(), pairs, decode_settings(SETTINGS))
 
