--- a/indigokeel/net/upstream/__init__.py
+++ b/indigokeel/net/upstream/__init__.py
@@ -1,10 +1,11 @@
-"""The client for upstreams: a connection pool, and attempts sent over HTTP/1.1.
+"""The upstream client: a connection pool and HTTP/1.1 exchanges that carry attempts and health checks.
 
-``connection_table``, ``circuit_breaker``, ``backoff``, ``idle_resets`` and ``response_parser`` do no I/O.
-``connection`` owns one descriptor, with ``socket_reader`` and ``socket_writer``; ``upstream_exchange`` is the
-protocol spoken on it. ``connection_pool`` hands connections out, with ``connector``, ``waiter_queue`` and
-``dispatcher``. ``client`` is what the process uses, with ``attempt_sender`` and ``health_check``.
-``descriptor_audit`` compares the table with the descriptors that the process holds.
+``client`` is the interface for the rest of the process; it uses ``attempt_sender`` and ``health_check``.
+``connection_pool`` hands out connections; it uses ``connector``, ``waiter_queue`` and ``dispatcher``.
+``connection`` owns one socket, read by ``socket_reader`` and written by ``socket_writer``, and
+``upstream_exchange`` implements HTTP/1.1 on it. ``connection_table``, ``circuit_breaker``, ``backoff``,
+``idle_resets`` and ``response_parser`` do no I/O. ``descriptor_audit`` compares the connection table with the
+open descriptors of the process.
 """
 
 from indigokeel.net.upstream.connection import CloseReason, ConnectionHandler, UpstreamConnection
--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Carries one attempt to an upstream: connect, last checks, write, response."""
+"""Sends one attempt to an upstream: acquires a connection, checks, writes, and handles the response."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from indigokeel.net.upstream.waiter_queue import ConnectFailure, ConnectionWaiter, OnResult
 from indigokeel.requests.effects import Attempt
 
-_NEW_CONNECTION = -1.0  # idle time of a connection that was opened for its attempt
+_NEW_CONNECTION = -1.0  # recorded as the idle time of a connection that was opened for the attempt
 
 OnEnded = Callable[[Attempt, UpstreamResponse], None]
 
 
 class ConnectionProvider(Protocol):
-    """The pool that connections come from."""
+    """The pool that attempts acquire connections from."""
 
     def acquire(
         self, upstream: str, address: Address, timeout_s: float, on_result: OnResult, unsafe: bool = False
@@ -37,26 +37,26 @@
         """Return a connection, or a waiter for one."""
 
     def cancel(self, waiter: ConnectionWaiter) -> None:
-        """End a wait."""
+        """Cancel a wait; its ``on_result`` is not called."""
 
     def release(self, connection: UpstreamConnection, reusable: bool) -> None:
-        """End a call on a connection."""
+        """End a call on a connection, and close it unless it is ``reusable``."""
 
     def close(self, connection: UpstreamConnection) -> None:
         """Close a connection."""
 
 
 class AttemptPolicy(Protocol):
-    """The decisions that an attempt depends on."""
+    """The state of requests and upstreams that decides whether an attempt may be sent."""
 
     def address(self, upstream: str) -> Address | None:
         """Return the address of an upstream, or None if it accepts no new requests."""
 
     def may_begin(self, now: float, attempt: Attempt) -> bool:
-        """Return whether an attempt may still be sent."""
+        """Return whether an attempt may still be sent, asked right before its first byte is written."""
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether a request has not ended."""
+        """Return whether a request is open, or has an attempt in flight."""
 
 
 class AttemptOwner(Protocol):
@@ -66,12 +66,12 @@
         """Handle the result of an attempt."""
 
     def on_attempt_dropped(self, sender: AttemptSender) -> None:
-        """Handle an attempt that was not sent and whose request has ended."""
+        """Handle an attempt that was not sent and needs no result, as its request has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptServices:
-    """What all attempts share."""
+    """The collaborators that all attempts share."""
 
     policy: AttemptPolicy
     connections: ConnectionProvider
@@ -82,11 +82,12 @@
 
 
 class AttemptSender:
-    """One attempt in flight (OnResult of its waiter, Call of its exchange)."""
+    """An attempt in flight. It is the ``Call`` of its exchange, and receives the result of its waiter."""
 
     __slots__ = (
-        "_backoff", "_connection", "_exchange", "_head_after", "_head_before", "_idle_s", "_is_streaming",
-        "_outbound", "_pending", "_send_until", "_services", "_was_abandoned", "attempt", "on_ended",
+        "_backoff", "_client_disconnected", "_connection", "_exchange", "_head_after", "_head_before",
+        "_idle_s", "_is_streaming", "_outbound", "_pending", "_send_until", "_services", "attempt",
+        "on_ended",
     )  # fmt: skip
 
     streams_response = True
@@ -99,7 +100,7 @@
         on_ended: OnEnded,
         send_until: float,
     ) -> None:
-        """``send_until`` is the clock time at which the first byte must have been written."""
+        """``send_until`` is the monotonic time by which the first byte must have been written."""
         self.attempt = attempt
         self.on_ended = on_ended
         self._services = services
@@ -108,19 +109,19 @@
         self._pending: UpstreamConnection | ConnectionWaiter | asyncio.Handle | None = None
         self._connection: UpstreamConnection | None = None
         self._exchange: UpstreamExchange | None = None
-        self._backoff: Backoff | None = None  # between writes that failed on this machine
+        self._backoff: Backoff | None = None  # set after the first write that failed locally
         self._idle_s = _NEW_CONNECTION
         self._is_streaming = False
-        self._was_abandoned = False
+        self._client_disconnected = False
 
     @property
     def key(self) -> tuple[str, int]:
-        """The request and the number of the attempt in it."""
+        """The id of the request, and the number of the attempt within it."""
         return self.attempt.request_id, self.attempt.number
 
     @property
     def is_cancellable(self) -> bool:
-        """Whether the attempt waits for something, rather than being sent right now."""
+        """Whether the attempt is waiting (for a connection, a retry or a response), and not being written."""
         return self._pending is not None
 
     def connect(self, now: float) -> None:
@@ -141,12 +142,12 @@
             self._pending = acquired
 
     def end_soon(self, outcome: AttemptOutcome) -> None:
-        """End the attempt in the next iteration of the event loop, unless it is cancelled before."""
+        """End the attempt in the next iteration of the event loop, unless it is cancelled first."""
         response = UpstreamResponse(outcome)
         self._pending = asyncio.get_running_loop().call_soon(self._end, response)
 
     def cancel(self) -> None:
-        """Stop the attempt and close its connection; ``on_ended`` is not called."""
+        """Cancel the attempt and close its connection; ``on_ended`` is not called."""
         pending = self._pending
         self._pending = None
         if isinstance(pending, UpstreamConnection):
@@ -157,11 +158,11 @@
             pending.cancel()
 
     def build_message(self) -> list[bytes] | None:
-        """Return the message, or None if it must not be sent any more (Call).
+        """Return the message, or None if it must no longer be sent (Call).
 
-        The client is asked after the clock: if the process is held up in between, a timeout that is sent too
-        long does less harm than an attempt for a client that has disconnected. The checks after it make no
-        system call.
+        The client connection is checked after the clock is read. If the process is delayed between the two,
+        the timeout that is sent is too long, which does less harm than an attempt for a client that has
+        disconnected. The checks after that make no system calls.
         """
         connection = self._connection
         assert connection is not None
@@ -174,7 +175,7 @@
         if outbound.has_body and outbound.request_stream is None:
             message += outbound.body
         if outbound.has_client_left():
-            self._was_abandoned = True
+            self._client_disconnected = True
             return None
         services = self._services
         if remaining_ms < 1 or not services.releaser.is_current(connection):
@@ -182,7 +183,7 @@
         return message if services.policy.may_begin(now, self.attempt) else None
 
     def on_response_started(self, response: UpstreamResponse) -> None:
-        """Pass on a long response before its end (Call)."""
+        """End the attempt with a response whose body is streamed (Call)."""
         services = self._services
         connection = self._connection
         stream = response.stream
@@ -221,14 +222,14 @@
             self._end(UpstreamResponse(AttemptOutcome.NO_CONNECTION))
 
     def _send(self, connection: UpstreamConnection) -> None:
-        """Write the attempt on a connection, unless the last checks fail."""
+        """Write the attempt on a connection, unless the final checks fail."""
         exchange = connection.handler
         assert isinstance(exchange, UpstreamExchange)
         self._pending = None
         self._connection = connection
         self._exchange = exchange
         self._idle_s = _NEW_CONNECTION
-        self._was_abandoned = False
+        self._client_disconnected = False
         self._head_before = head_before_timeout(self._outbound, exchange.host)
         self._head_after = head_after_timeout(self._outbound)
         services = self._services
@@ -247,18 +248,21 @@
         self._end_unsent()
 
     def _end_unsent(self) -> None:
-        """End an attempt that failed the last checks.
+        """End an attempt that failed the final checks.
 
-        If its client has disconnected, the request has ended, and with it an attempt that was never written.
+        If the client has disconnected, the request has ended, and an attempt that was never written is
+        dropped without a result.
         """
-        is_retry = self._backoff is not None
-        if not self._was_abandoned or (is_retry and self._services.policy.is_open(self.attempt.request_id)):
+        has_failed_write = self._backoff is not None
+        if not self._client_disconnected or (
+            has_failed_write and self._services.policy.is_open(self.attempt.request_id)
+        ):
             self.end_soon(AttemptOutcome.NOT_SENT)
         else:
             self._services.owner.on_attempt_dropped(self)
 
     def _retry_later(self, error: LocalError) -> None:
-        """Start over after a delay, while there is time to wait for a connection."""
+        """Acquire a connection again after a delay, unless it is too late to send the attempt by then."""
         if self._backoff is None:
             self._backoff = Backoff(Random())
         delay_s = self._backoff.next_delay_s()
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -1,4 +1,4 @@
-"""The client for upstreams: attempts in flight, health checks and the connections that they share."""
+"""The upstream client: attempts in flight, health checks and the connection pool that they share."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Attempt
 
-_MAX_IDLE_RATIO = 0.5  # of the keep-alive time, at whose end the upstream closes
-# The share of an attempt's time in which its connection must be established: an upstream that does not answer
+# Idle connections are closed after this share of the keep-alive time, at whose end the upstream closes them.
+_MAX_IDLE_RATIO = 0.5
+# The share of an attempt's time in which its connection must be established, so that an unresponsive upstream
 # leaves time for another attempt.
 _CONNECT_TIME_RATIO = 0.35
 _MIN_CONNECT_TIME_S = 0.02
-# Overrides the minimum: a wait that is prolonged by local errors must end before the attempt's time does, or
-# it would count as a timeout of the upstream.
+# Takes precedence over the minimum: a wait for a connection that local errors prolong must end before the
+# attempt's time is up, or it would count as a timeout of the upstream.
 _MAX_CONNECT_TIME_RATIO = 0.7
 
 _OUTCOME_COUNTERS = {outcome: "attempt_" + outcome.name.lower() for outcome in AttemptOutcome}
@@ -32,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamClientOptions:
-    """The limits and times of a client."""
+    """The timeouts and limits of an upstream client."""
 
     connect_timeout_s: float
-    keepalive_s: float  # after which upstreams close an idle connection
+    keepalive_s: float  # upstreams close a connection that has been idle for this long
     max_connections: int
-    seed: int = 0  # of random delays
-    preconnects: bool = False  # open a connection to each new upstream before its first attempt
+    seed: int = 0  # for the jitter of circuit breakers and connect backoff
+    preconnects: bool = False  # whether to connect to a new upstream before its first attempt
 
 
 class UpstreamClient:
@@ -47,12 +48,12 @@
     def __init__(
         self, coordinator: RequestCoordinator, counters: Counters, options: UpstreamClientOptions
     ) -> None:
-        """Create a client for the attempts that ``coordinator`` orders."""
+        """Create a client for the attempts of ``coordinator``."""
         self._coordinator = coordinator
         self._counters = counters
         self._preconnects = options.preconnects
         self._connect_timeout_s = options.connect_timeout_s
-        self._in_flight: dict[tuple[str, int], AttemptSender] = {}  # by request and number
+        self._in_flight: dict[tuple[str, int], AttemptSender] = {}  # by request id and attempt number
         self.connections = ConnectionPool(
             ConnectionLimits.of(options.max_connections),
             UpstreamExchange,
@@ -68,31 +69,31 @@
         )
 
     def apply_timeouts(self, connect_timeout: float, keepalive: float) -> None:
-        """Replace the timeouts, in seconds, for connections that are opened or reused from now on."""
+        """Set the timeouts, in seconds, for connections that are opened or reused from now on."""
         self._connect_timeout_s = connect_timeout
         self._health_checker.connect_timeout_s = connect_timeout
         self.connections.apply_timeouts(connect_timeout, keepalive * _MAX_IDLE_RATIO)
 
     @property
     def open(self) -> int:
-        """The number of connections that are opening, idle or in use."""
+        """The number of open connections, including those still connecting."""
         return len(self.connections.table)
 
     def send_attempt(self, attempt: Attempt, outbound: OutboundRequest, done: OnEnded) -> None:
-        """Send an attempt. ``done`` is called once with its result, after this returns, unless cancelled."""
+        """Send an attempt. ``done`` is called once, after this returns, unless the attempt is cancelled."""
         now = time.monotonic()
         remaining_s = attempt.until - now
         sender = AttemptSender(
             self._services, attempt, outbound, done, now + self._connect_time_s(remaining_s)
         )
         self._in_flight[sender.key] = sender
-        if remaining_s <= 0.0:  # nothing was sent, so no upstream has failed
+        if remaining_s <= 0.0:  # too late to send it, which is no failure of the upstream
             sender.end_soon(AttemptOutcome.NOT_SENT)
         else:
             sender.connect(now)
 
     def cancel_attempt(self, request: str, number: int) -> None:
-        """Cancel an attempt and close its connection."""
+        """Cancel an attempt that is in flight, and close its connection."""
         sender = self._in_flight.get((request, number))
         if sender is None or not sender.is_cancellable:
             return
@@ -101,11 +102,11 @@
         sender.cancel()
 
     def close_idle(self, upstream: str) -> None:
-        """Close the idle connections to an upstream now and those in use when they become free."""
+        """Close the idle connections to an upstream now, and those in use when their calls have ended."""
         self.connections.close_to(upstream)
 
     def warm_up(self, upstreams: list[str]) -> None:
-        """Open a connection to each of some new upstreams, if the client is set up so."""
+        """Open a connection to each of some new upstreams, if ``preconnects`` is set."""
         if not self._preconnects:
             return
         for upstream in upstreams:
@@ -114,11 +115,11 @@
                 self.connections.warm(upstream, address)
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that were idle for too long."""
+        """Close the connections that have been idle for too long."""
         self.connections.close_expired(now)
 
     async def check_health(self, upstream: str) -> HealthCheckResult:
-        """Ask an upstream for its load, on a connection of the pool."""
+        """Request a load report from an upstream, on a connection of the pool."""
         result = await self._health_checker.check(upstream)
         self._counters.add("upstream_health_check_" + result.outcome.name.lower())
         if result.outcome is AttemptOutcome.OK and result.load is None:
@@ -136,6 +137,6 @@
         self._in_flight.pop(sender.key, None)
 
     def _connect_time_s(self, remaining_s: float) -> float:
-        """Return how long an attempt may wait for its connection, from the time that it has left."""
+        """Return the time limit for acquiring a connection, given the time left for the attempt."""
         minimum_s = min(_MIN_CONNECT_TIME_S, remaining_s * _MAX_CONNECT_TIME_RATIO)
         return min(self._connect_timeout_s, max(remaining_s * _CONNECT_TIME_RATIO, minimum_s))
--- a/indigokeel/net/upstream/connection_pool.py
+++ b/indigokeel/net/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all upstreams."""
+"""A pool of connections to all upstreams."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolOptions:
-    """Settings of a pool. ``max_calls`` is the number of concurrent calls on a connection."""
+    """The settings of a pool. ``max_calls`` is the maximum number of concurrent calls on a connection."""
 
     seed: int = 0
     connect_timeout_s: float = 0.25
@@ -36,7 +36,7 @@
         telemetry: Telemetry,
         options: PoolOptions | None = None,
     ) -> None:
-        """``make_handler`` creates the protocol of each new connection."""
+        """``make_handler`` creates the handler of each new connection."""
         options = options or PoolOptions()
         self.table: ConnectionTable[UpstreamConnection] = ConnectionTable(limits)
         self.idle_resets = IdleResetEstimator()
@@ -53,7 +53,7 @@
         )
 
     def apply_timeouts(self, connect_timeout_s: float, max_idle_s: float) -> None:
-        """Replace the timeouts, in seconds."""
+        """Set the timeouts, in seconds."""
         self._connector.connect_timeout_s = connect_timeout_s
         self._max_idle_s = max_idle_s
 
@@ -67,10 +67,10 @@
     ) -> UpstreamConnection | ConnectionWaiter:
         """Return a connection to ``upstream`` for one call, or a waiter if none is free.
 
-        ``on_result`` of a waiter is called once, after this returns: with a connection, or with the reason
-        why there was none within ``timeout_s`` seconds. Connects that fail on this machine are retried during
-        that time. An ``unsafe`` request, which must not be sent again, gets no connection that is likely to
-        be reset.
+        ``on_result`` of a waiter is called once, after this returns, with a connection or with the reason why
+        none became available within ``timeout_s`` seconds. During that time, connects that fail locally are
+        retried. An ``unsafe`` request, which must not be sent again, is not given a connection that is likely
+        to be reset.
         """
         connection = self._find_shared(upstream, address) or self._take_idle(upstream, address, unsafe)
         if connection is not None:
@@ -81,11 +81,11 @@
         return waiter
 
     def cancel(self, waiter: ConnectionWaiter) -> None:
-        """End a wait without a call of its ``on_result``."""
+        """Cancel a wait; its ``on_result`` is not called."""
         self._dispatcher.cancel(waiter)
 
     def was_suspended(self, waiter: ConnectionWaiter) -> bool:
-        """Return whether a local error kept connects from starting for a part of a wait."""
+        """Return whether connects were suspended by a local error during any part of a wait."""
         return self._connector.was_suspended_since(waiter.upstream, waiter.started_at)
 
     def release(self, connection: UpstreamConnection, reusable: bool) -> None:
@@ -109,21 +109,21 @@
         self._dispatcher.close(connection)
 
     def discard(self, connection: UpstreamConnection) -> None:
-        """Remove a connection whose descriptor is no longer its own, and end its calls."""
+        """Remove a connection that no longer owns its descriptor, and fail its calls."""
         if connection.state is not ConnectionState.CLOSED:
             self._connector.remove(connection)
             connection.detach()
-            self._dispatcher.serve_all()
+            self._dispatcher.connect_for_all_waiters()
 
     def close_to(self, upstream: str) -> None:
-        """Close the idle connections to an upstream now and those in use when they become free."""
+        """Close the idle connections to an upstream now, and those in use when their calls have ended."""
         for connection in self.table.connections(upstream, ConnectionState.IDLE):
             self.close(connection)
         for connection in self.table.connections(upstream, ConnectionState.IN_USE):
             self.table.move(connection, ConnectionState.DRAINING)
 
     def warm(self, upstream: str, address: Address) -> None:
-        """Open a connection before the first attempt, if the upstream has none and the limits allow it."""
+        """Open a connection ahead of the first attempt, if the upstream has none and the limits allow it."""
         states = (ConnectionState.IDLE, ConnectionState.OPENING, ConnectionState.IN_USE)
         if any(self.table.count(upstream, state) for state in states):
             return
@@ -133,7 +133,7 @@
             self._telemetry.count("connections_warmed")
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that were idle for too long, and drop outdated failures."""
+        """Close the connections that have been idle for too long, and drop outdated failure records."""
         while (oldest := self.table.longest_idle()) is not None:
             if now - oldest.idle_since < self._max_idle_s:
                 break
@@ -153,7 +153,7 @@
         return len(self._queue)
 
     def end(self) -> None:
-        """Close all connections and cancel all waiters; none is notified."""
+        """Cancel all waiters and close all connections, without notifying any."""
         for upstream in self._queue.upstreams():
             for waiter in self._queue.waiters(upstream):
                 self.cancel(waiter)
@@ -161,7 +161,7 @@
             self.close(connection)
 
     def on_connected(self, connection: UpstreamConnection) -> None:
-        """Put a new connection to use (ConnectionOwner)."""
+        """Assign a new connection to waiters, or make it idle (ConnectionOwner)."""
         self._connector.on_connected(connection)
         self._telemetry.count("upstream_connections")
         try:
@@ -171,30 +171,30 @@
             self.close(connection)
             return
         self._dispatcher.offer(connection)
-        self._dispatcher.serve_all()
+        self._dispatcher.connect_for_all_waiters()
 
     def on_closed(self, connection: UpstreamConnection, error: OSError | None) -> None:
-        """Remove a connection that was closed by the peer or by an error (ConnectionOwner)."""
+        """Remove a connection that the peer or an error has closed (ConnectionOwner)."""
         was_opening = connection.state is ConnectionState.OPENING
         if connection.state is not ConnectionState.CLOSED:
             self._connector.remove(connection)
         if was_opening:
             self._dispatcher.on_connect_error(connection, error)
-        self._dispatcher.serve_all()
+        self._dispatcher.connect_for_all_waiters()
 
     def on_handler_error(self, error: Exception) -> None:
         """Report an error in a connection's handler (ConnectionOwner)."""
         self._telemetry.report_handler_error(error)
 
     def _on_resume(self, upstream: str | None) -> None:
-        """Serve the waiters for which connects were suspended."""
+        """Open connections for the waiters for which connects were suspended."""
         if upstream is None:
-            self._dispatcher.serve_all()
+            self._dispatcher.connect_for_all_waiters()
         else:
-            self._dispatcher.serve(upstream)
+            self._dispatcher.connect_for_waiters(upstream)
 
     def _find_shared(self, upstream: str, address: Address) -> UpstreamConnection | None:
-        """Return a connection in use that can carry one more call."""
+        """Return a connection in use that has room for another call."""
         if self._max_calls <= 1:
             return None
         for connection in self.table.connections(upstream, ConnectionState.IN_USE):
@@ -203,9 +203,9 @@
         return None
 
     def _take_idle(self, upstream: str, address: Address, unsafe: bool) -> UpstreamConnection | None:
-        """Return the idle connection used last, after a check that its peer has not closed it.
+        """Return the most recently used idle connection that its peer has not closed.
 
-        Connections that are too old or lead to a former address are closed.
+        Connections that have been idle for too long or lead to a former address are closed.
         """
         connection = self.table.most_recently_used(upstream)
         if connection is None:
@@ -216,7 +216,7 @@
             if connection.address == address and idle_s < self._max_idle_s:
                 if self.idle_resets.is_risky(now, idle_s, unsafe):
                     if not self.idle_resets.is_risky(now, idle_s):
-                        return None  # still usable for requests that are safe to send again
+                        return None  # kept open for requests that are safe to send again
                 elif connection.is_quiet():
                     self.table.move(connection, ConnectionState.IN_USE)
                     return connection
--- a/indigokeel/net/upstream/connection_table.py
+++ b/indigokeel/net/upstream/connection_table.py
@@ -1,7 +1,7 @@
 """The connections to all upstreams by state, and the limits on their number. No I/O.
 
-The table is the only count of connections: every figure is derived from its entries, so none can diverge from
-them.
+No connection counters are kept beside the table: every count is derived from its entries, so that none can
+diverge from them.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from enum import Enum
 from typing import Generic, Protocol, TypeVar
 
-_UPSTREAM_LIMIT_FLOOR = 8  # connections to one upstream, where the total allows it
+_UPSTREAM_LIMIT_FLOOR = 8  # connections to one upstream, if the total limit allows them
 _OPENING_LIMIT_FLOOR = 2
 _OPENING_LIMIT_CEILING = 32
 
 
 class ConnectionState(Enum):
-    """The state of a connection. DRAINING: in use, and closed once its last call has ended."""
+    """The state of a connection. DRAINING: in use, and to be closed when its last call has ended."""
 
-    __hash__ = object.__hash__  # faster than Enum's own, and every exchange looks states up
+    __hash__ = object.__hash__  # faster than that of Enum; every exchange hashes states
 
     OPENING = "opening"
     IDLE = "idle"
@@ -40,7 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The most connections in total, to one upstream while others have some, and opening to one upstream."""
+    """The maximum numbers of connections.
+
+    ``total`` covers all upstreams. ``upstream`` applies to each upstream while others have connections too.
+    ``opening`` applies to the connects in progress to each upstream.
+    """
 
     total: int
     upstream: int
@@ -48,14 +52,14 @@
 
     @classmethod
     def of(cls, total: int) -> ConnectionLimits:
-        """Return the default limits for a total: one upstream that hangs leaves half of it to the others."""
+        """Return the default limits for a total, so that a hanging upstream leaves half of it to others."""
         upstream = max(total // 2, min(total, _UPSTREAM_LIMIT_FLOOR))
         opening = max(min(total // 4, _OPENING_LIMIT_CEILING), _OPENING_LIMIT_FLOOR)
         return cls(total, upstream, opening)
 
 
 class TableEntry(Protocol):
-    """A connection as the table sees it. ``state`` is changed by the table alone."""
+    """The part of a connection that the table uses. Only the table changes ``state``."""
 
     upstream: str
     state: ConnectionState
@@ -65,7 +69,7 @@
 
 
 class _UpstreamEntries(dict[ConnectionState, dict[EntryT, None]], Generic[EntryT]):
-    """The connections to one upstream by state, each in order of entry into it."""
+    """The connections to one upstream by state, in the order in which they entered it."""
 
     def __init__(self) -> None:
         super().__init__({state: {} for state in ConnectionState if state is not ConnectionState.CLOSED})
@@ -96,12 +100,12 @@
         return 0 if entries is None else len(entries[state])
 
     def connections(self, upstream: str, state: ConnectionState) -> list[EntryT]:
-        """Return the connections to an upstream in a state, in order of entry into it."""
+        """Return the connections to an upstream in a state, in the order in which they entered it."""
         entries = self._by_upstream.get(upstream)
         return [] if entries is None else list(entries[state])
 
     def move(self, entry: EntryT, state: ConnectionState) -> None:
-        """Add a new connection in OPENING, or move one to its next state.
+        """Add a new connection in state OPENING, or change the state of one in the table.
 
         Raises ValueError on a transition that is not allowed.
         """
@@ -127,7 +131,7 @@
         return len(self._idle)
 
     def most_recently_used(self, upstream: str) -> EntryT | None:
-        """Return the idle connection to an upstream that was used last."""
+        """Return the idle connection to an upstream that was used most recently."""
         entries = self._by_upstream.get(upstream)
         return None if entries is None else next(reversed(entries[ConnectionState.IDLE]), None)
 
@@ -164,5 +168,5 @@
 
     def _remove(self, entry: EntryT, entries: _UpstreamEntries[EntryT]) -> None:
         del self._all[entry]
-        if not any(entries.values()):  # names come and go without end; only those in use are kept
+        if not any(entries.values()):  # upstream names change over time, so unused ones must not accumulate
             del self._by_upstream[entry.upstream]
--- a/indigokeel/net/upstream/dispatcher.py
+++ b/indigokeel/net/upstream/dispatcher.py
@@ -1,4 +1,4 @@
-"""Matches connections with the attempts that wait for one."""
+"""Assigns connections to the waiters for them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConnectionDispatcher:
-    """Opens connections for waiters, gives them free ones, and ends waits that cannot be satisfied."""
+    """Opens connections for waiters, assigns free ones to them, and ends waits that cannot succeed."""
 
     def __init__(
         self,
@@ -23,16 +23,19 @@
         telemetry: Telemetry,
         max_calls: int,
     ) -> None:
-        """``max_calls`` is the number of concurrent calls on a connection."""
+        """``max_calls`` is the maximum number of concurrent calls on a connection."""
         self._table = table
         self._queue = queue
         self._connector = connector
         self._telemetry = telemetry
         self._max_calls = max_calls
-        self._serving_all = False
+        self._connecting_for_all = False
 
     def enqueue(self, waiter: ConnectionWaiter, timeout_s: float) -> None:
-        """Queue a waiter and open a connection for it where the limits allow."""
+        """Queue a waiter and open a connection for it if the limits allow.
+
+        If the circuit breaker rejects connects and none is in progress, the wait fails.
+        """
         upstream = waiter.upstream
         is_opening = self._table.count(upstream, ConnectionState.OPENING) > 0
         if not is_opening and not self._connector.may_connect(upstream, waiter.address):
@@ -41,7 +44,7 @@
             return
         waiter.timer = asyncio.get_running_loop().call_later(timeout_s, self._on_timeout, waiter)
         self._queue.append(waiter)
-        self.serve(upstream)
+        self.connect_for_waiters(upstream)
 
     def cancel(self, waiter: ConnectionWaiter) -> None:
         """Remove a waiter; its ``on_result`` is not called."""
@@ -50,20 +53,20 @@
             self._cancel_surplus_connect(waiter, timed_out=False)
 
     def close(self, connection: UpstreamConnection) -> None:
-        """Close a connection in any state and serve the waiters with the freed capacity."""
+        """Close a connection in any state, and use the freed capacity to connect for waiters."""
         if connection.state is not ConnectionState.CLOSED:
             self._connector.remove(connection)
             connection.close()
-            self.serve_all()
+            self.connect_for_all_waiters()
 
     def offer(self, connection: UpstreamConnection) -> None:
-        """Give a connection without calls to the first waiters it suits, or make it idle."""
+        """Assign a connection without calls to the first waiters for its address, or make it idle."""
         waiter = self._queue.first_for(connection)
         if waiter is None:
             connection.idle_since = self._telemetry.clock()
             self._table.move(connection, ConnectionState.IDLE)
             if self._queue:
-                self.serve_all()  # it may have to be closed for waiters of another upstream
+                self.connect_for_all_waiters()  # may close it for waiters for another upstream
             return
         if connection.state is not ConnectionState.IN_USE:
             self._table.move(connection, ConnectionState.IN_USE)
@@ -71,7 +74,7 @@
         self.share(connection)
 
     def share(self, connection: UpstreamConnection) -> None:
-        """Give a connection in use to further waiters, up to its number of calls."""
+        """Assign a connection in use to more waiters, up to its limit of concurrent calls."""
         while 0 < connection.calls < self._max_calls and connection.state is ConnectionState.IN_USE:
             waiter = self._queue.first_for(connection)
             if waiter is None:
@@ -79,7 +82,7 @@
             self._assign(waiter, connection)
 
     def on_connect_error(self, connection: UpstreamConnection, error: OSError | None) -> None:
-        """Handle a connect that failed after its start."""
+        """Handle the failure of a connect that was in progress."""
         if isinstance(error, LocalError):
             self._connector.on_local_error(connection, error)
             return
@@ -89,8 +92,8 @@
             self._notify(waiter, ConnectFailure.UPSTREAM)
         self._fail_blocked_waiters(connection.upstream)
 
-    def serve(self, upstream: str) -> None:
-        """Open the connections that the waiters for an upstream need, within the limits."""
+    def connect_for_waiters(self, upstream: str) -> None:
+        """Open connections for the waiters for an upstream, within the limits."""
         while (waiter := self._next_to_connect(upstream)) is not None:
             if self._table.may_open(upstream) and self._connector.open(upstream, waiter.address):
                 continue
@@ -98,21 +101,21 @@
                 return
             self._fail_soon(waiter)
 
-    def serve_all(self) -> None:
-        """Open connections for the waiters of all upstreams, after capacity was freed."""
-        if self._serving_all or not self._queue:
+    def connect_for_all_waiters(self) -> None:
+        """Open connections for the waiters for all upstreams, after capacity was freed."""
+        if self._connecting_for_all or not self._queue:
             return
-        self._serving_all = True
+        self._connecting_for_all = True
         try:
             for upstream in self._queue.upstreams():
-                self.serve(upstream)
+                self.connect_for_waiters(upstream)
                 if self._table.is_full() and self._table.longest_idle() is None:
                     break
         finally:
-            self._serving_all = False
+            self._connecting_for_all = False
 
     def _next_to_connect(self, upstream: str) -> ConnectionWaiter | None:
-        """Return the waiter to open a connection for, or None if no connect is needed or allowed."""
+        """Return the waiter to open a connection for, or None if a connect is not needed or not allowed."""
         opening = self._table.count(upstream, ConnectionState.OPENING)
         if opening * self._max_calls >= self._queue.count(upstream):
             return None
@@ -124,7 +127,7 @@
         return waiter
 
     def _may_get_capacity(self, upstream: str) -> bool:
-        """Return whether a connection may still become available for the waiters of an upstream."""
+        """Return whether a connection may still become available to the waiters for an upstream."""
         if self._table.count(upstream, ConnectionState.OPENING) or self._connector.is_suspended(upstream):
             return True
         return self._table.is_full() or not self._table.may_open(upstream)
@@ -135,7 +138,7 @@
         self._notify(waiter, connection)
 
     def _notify(self, waiter: ConnectionWaiter, result: UpstreamConnection | ConnectFailure) -> None:
-        """End a wait. An error in the waiter's callback costs this call alone."""
+        """End a wait. An exception in the waiter's callback fails that call alone."""
         waiter.cancel_timer()
         try:
             waiter.on_result(result)
@@ -146,7 +149,7 @@
                 self.close(result)
 
     def _fail_soon(self, waiter: ConnectionWaiter) -> None:
-        """End a wait in the next iteration of the event loop, when the current caller has returned."""
+        """Fail a wait in the next iteration of the event loop, after the current caller has returned."""
         waiter.cancel_timer()
         waiter.timer = asyncio.get_running_loop().call_soon(self._notify, waiter, ConnectFailure.UPSTREAM)
 
@@ -162,7 +165,7 @@
         self._notify(waiter, ConnectFailure.LOCAL if was_suspended else ConnectFailure.UPSTREAM)
 
     def _cancel_surplus_connect(self, removed: ConnectionWaiter, timed_out: bool) -> None:
-        """Cancel the oldest connect to an upstream if fewer waiters than connects are left."""
+        """Cancel the oldest connect to an upstream if more connects than waiters are left."""
         upstream = removed.upstream
         if self._table.count(upstream, ConnectionState.OPENING) <= self._queue.count(upstream):
             return
@@ -174,7 +177,7 @@
         self._fail_blocked_waiters(upstream)
 
     def _fail_blocked_waiters(self, upstream: str) -> None:
-        """End the waits for an upstream without connects, where its circuit breaker allows none."""
+        """Fail the waits for an upstream if no connect is in progress and its circuit breaker allows none."""
         if self._table.count(upstream, ConnectionState.OPENING):
             return
         for waiter in self._queue.waiters(upstream):
--- a/indigokeel/net/upstream/upstream_exchange.py
+++ b/indigokeel/net/upstream/upstream_exchange.py
@@ -14,22 +14,22 @@
 
 
 class Call(Protocol):
-    """One request on its way through an exchange."""
+    """A request that an exchange sends, and the receiver of its response."""
 
-    streams_response: bool  # whether a long response is passed on before its end
+    streams_response: bool  # whether the body of a long response is passed on while it arrives
 
     def build_message(self) -> list[bytes] | None:
         """Return the message to write, or None to write nothing."""
 
     def on_response_started(self, response: UpstreamResponse) -> None:
-        """Handle a long response, whose body follows in ``response.stream``."""
+        """Handle the start of a long response, whose body follows in ``response.stream``."""
 
     def on_response_ended(self, response: UpstreamResponse, is_reusable: bool) -> None:
-        """Handle a complete response, or a failure, and whether the connection may be used again."""
+        """Handle a complete response or a failure, and whether the connection is reusable."""
 
 
 class UpstreamExchange:
-    """The protocol of one connection (ConnectionHandler), and the writer of streamed requests (Sink)."""
+    """The handler of a connection (ConnectionHandler), which also writes streamed request bodies (Sink)."""
 
     __slots__ = (
         "_call", "_connection", "_parser", "_request_stream", "_stream", "has_unexpected_bytes", "host",
@@ -37,7 +37,7 @@
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.host = http.host(connection.address)
-        self.has_unexpected_bytes = False  # bytes that belong to no response: the connection is unusable
+        self.has_unexpected_bytes = False  # belonging to no response, so the connection cannot be reused
         self._connection = connection
         self._call: Call | None = None
         self._parser: ResponseParser | None = None
@@ -45,12 +45,12 @@
         self._request_stream: RequestStream | None = None
 
     def send(self, call: Call, request_stream: RequestStream | None = None) -> bool:
-        """Write the message of a call, followed by the body from ``request_stream``.
+        """Write the message of a call, followed by the body from ``request_stream``, if any.
 
-        ``call.build_message`` is called right before the write, so that what the message depends on (clock,
-        client, endpoint list) is current. Return False if it returns None; the call is not notified then, nor
-        if LocalError is raised because this machine cannot write. Otherwise the call is notified, after this
-        returns.
+        ``call.build_message`` is called right before the write, so that the state that the message depends on
+        (clock, client, endpoint list) is current. Return False if it returns None. Raise LocalError if the
+        write fails for lack of a local resource. The call is not notified in either case; otherwise it is
+        notified of the result, after this returns.
         """
         parser = ResponseParser()
         message = call.build_message()
@@ -73,7 +73,7 @@
             self._fail_soon()
 
     def is_writable(self) -> bool:
-        """Return whether the system has taken all that was written (Sink)."""
+        """Return whether the kernel has accepted all bytes written so far (Sink)."""
         return not self._connection.has_unsent_data()
 
     def on_writable(self) -> None:
@@ -100,7 +100,7 @@
             self._finish(parser.response(), parser.is_reusable)
 
     def on_closed(self, reason: CloseReason) -> None:
-        """Fail the call, unless the end of the connection completes its response (ConnectionHandler)."""
+        """Fail the call, unless the close of the connection completes its response (ConnectionHandler)."""
         if reason.at_eof and self._parser is not None and self._parser.feed_eof():
             self._finish(self._parser.response())
             return
@@ -111,7 +111,7 @@
         is_written = request_stream is None or request_stream.is_fully_written
         if is_written and not reason.has_unsent_data:
             return AttemptOutcome.BROKEN
-        # The upstream cannot have run a request that it has not received in full.
+        # The upstream has not received the request in full, so it cannot have run it.
         return AttemptOutcome.NOT_SENT if reason.is_local_error else AttemptOutcome.NO_CONNECTION
 
     def _start_stream(self, parser: ResponseParser) -> None:
