--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -178,7 +178,7 @@
             self._client_disconnected = True
             return None
         services = self._services
-        if remaining_ms < 1 or not services.releaser.is_current(connection):
+        if remaining_ms < 1 or not services.releaser.has_current_address(connection):
             return None
         return message if services.policy.may_begin(now, self.attempt) else None
 
--- a/indigokeel/net/upstream/backoff.py
+++ b/indigokeel/net/upstream/backoff.py
@@ -1,7 +1,7 @@
-"""Backoff for system calls that fail for want of a local resource. No I/O; the clock is passed in.
+"""Backoff for system calls that fail for lack of a local resource. No I/O; the caller passes the time.
 
-Such shortages (ports, descriptors, memory) are brief and requests are in a hurry, so delays are a few
-milliseconds. Jitter keeps the processes of one machine from retrying together.
+Shortages of ports, descriptors or memory are brief and requests are urgent, so the delays are a few
+milliseconds. Jitter keeps the processes of a machine from retrying at the same time.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 import math
 from random import Random
 
-_INITIAL_DELAY_S = 0.002  # a delay is between half of this and all of it, doubled with each failure
+_INITIAL_DELAY_S = 0.002  # a delay is uniform between half of this and this, which doubles after each failure
 _MAX_DELAY_S = 0.016
-_RETENTION_S = 30.0  # after its end, until a suspension is dropped
+_RETENTION_S = 30.0  # from the end of a suspension until it is dropped
 
 
 class Backoff:
-    """The delays between consecutive failures of one call."""
+    """The delays after consecutive failures of one operation."""
 
     __slots__ = ("_ceiling_s", "_random")
 
@@ -30,12 +30,12 @@
         return delay_s
 
     def reset(self) -> None:
-        """Start over after a call that succeeded."""
+        """Start again with the initial delay, after a success."""
         self._ceiling_s = _INITIAL_DELAY_S
 
 
 class LocalRetryDelays:
-    """The delays of one connection's reads and writes that fail on this machine."""
+    """The delays before retries of one connection's reads and writes that failed locally."""
 
     __slots__ = ("_backoff",)
 
@@ -43,18 +43,18 @@
         self._backoff: Backoff | None = None
 
     def next_delay_s(self) -> float:
-        """Return the delay after one more failure of either, in seconds."""
+        """Return the delay after one more failed read or write, in seconds."""
         if self._backoff is None:
             self._backoff = Backoff(Random())
         return self._backoff.next_delay_s()
 
     def reset(self) -> None:
-        """Start over after a read or write that succeeded."""
+        """Start again with the initial delay, after a successful read or write."""
         self._backoff = None
 
 
 class _Suspension:
-    """Connects that are suspended, to one upstream or to all."""
+    """The suspension of connects to one upstream, or to all, and its delays."""
 
     __slots__ = ("backoff", "is_active", "until")
 
@@ -65,7 +65,7 @@
 
 
 class ConnectBackoff:
-    """Suspends connects after a local failure: to one upstream, or to all where any connect would fail."""
+    """Suspends connects after a local failure: to one upstream, or to all if any connect would fail."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -73,7 +73,7 @@
         self._by_upstream: dict[str, _Suspension] = {}
 
     def suspend(self, now: float, upstream: str | None) -> float:
-        """Suspend connects to ``upstream`` (None: to all). Return the delay until the next, in seconds."""
+        """Suspend connects to ``upstream`` (None: to all). Return for how many seconds."""
         suspension = self._all
         if upstream is not None:
             suspension = self._by_upstream.setdefault(upstream, _Suspension(self._random))
@@ -90,7 +90,7 @@
             suspension.until = max(now, suspension.until)
 
     def on_connect_started(self, upstream: str) -> None:
-        """Reset the delays: a connect could start."""
+        """Reset the delays, as a connect has started without a local failure."""
         self._all.backoff.reset()
         suspension = self._by_upstream.get(upstream)
         if suspension is not None:
@@ -102,7 +102,7 @@
         return self._all.is_active or (suspension is not None and suspension.is_active)
 
     def was_active_since(self, upstream: str, since: float) -> bool:
-        """Return whether connects to an upstream were suspended at any time since ``since``."""
+        """Return whether connects to an upstream were suspended at any time from ``since`` on."""
         if self.is_active(upstream) or self._all.until >= since:
             return True
         suspension = self._by_upstream.get(upstream)
--- a/indigokeel/net/upstream/circuit_breaker.py
+++ b/indigokeel/net/upstream/circuit_breaker.py
@@ -1,7 +1,7 @@
-"""Circuit breakers for connects: after consecutive failures, connects to an address stop for a while.
+"""Circuit breakers for connects: after consecutive failures, connects to an address are paused.
 
-Closed, open and half-open as in Nygard, "Release It!". The open time has full jitter (Brooker, "Exponential
-Backoff And Jitter"), so that many sidecars do not retry an upstream at the same time.
+The states are closed, open and half-open (Nygard, "Release It!"). The open time has full jitter (Brooker,
+"Exponential Backoff And Jitter"), so that many sidecars do not reconnect to an upstream at the same time.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from indigokeel.endpoints.endpoint_list import Address
 
 FAILURE_THRESHOLD = 4  # consecutive failed connects that open the circuit
-_INITIAL_OPEN_S = 0.2  # the open time is uniform between 0 and this, doubled with each failed trial
+_INITIAL_OPEN_S = 0.2  # the open time is uniform between 0 and this, which doubles after each failed trial
 _MAX_OPEN_S = 2.0
-_RETENTION_S = 30.0  # after the open time, until a breaker without further connects is dropped
+_RETENTION_S = 30.0  # from the end of the open time until a breaker is dropped
 
 
 class CircuitBreaker:
-    """The circuit of one address. Times are seconds of the caller's clock."""
+    """The circuit breaker of one address. Times are in seconds of the caller's clock."""
 
     __slots__ = ("_failures", "_open_time_s", "_random", "_trial_running", "open_until")
 
@@ -29,7 +29,7 @@
         self.open_until = 0.0
 
     def allows(self, now: float) -> bool:
-        """Return whether a connect may start; while half-open, one at a time."""
+        """Return whether a connect may start. While the circuit is half-open, one may be in progress."""
         if self._failures < FAILURE_THRESHOLD:
             return True
         return now >= self.open_until and not self._trial_running
@@ -49,7 +49,7 @@
         self._trial_running = False
 
     def on_connect_failed(self, now: float) -> bool:
-        """Record a failed connect. Return whether it opens a closed circuit."""
+        """Record a failed connect. Return whether it opens the circuit, which was closed before."""
         self._failures += 1
         self._trial_running = False
         if self._failures < FAILURE_THRESHOLD:
@@ -60,14 +60,14 @@
 
 
 class CircuitBreakers:
-    """The circuit breakers of all upstreams, by name and address. Only addresses that failed have one."""
+    """The circuit breakers by upstream and address. Only addresses with failures have one."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self._breakers: dict[tuple[str, Address], CircuitBreaker] = {}
 
     def has_failures(self, upstream: str, address: Address) -> bool:
-        """Return whether connects to an address have failed since its last success."""
+        """Return whether a connect to an address has failed since the last one that succeeded."""
         return (upstream, address) in self._breakers
 
     def allows(self, upstream: str, address: Address, now: float) -> bool:
@@ -82,7 +82,7 @@
             breaker.on_connect_started()
 
     def on_connected(self, upstream: str, address: Address) -> None:
-        """Record a successful connect."""
+        """Record a successful connect and drop the breaker."""
         self._breakers.pop((upstream, address), None)
 
     def on_connect_cancelled(self, upstream: str, address: Address) -> None:
@@ -92,7 +92,7 @@
             breaker.on_connect_cancelled()
 
     def on_connect_failed(self, upstream: str, address: Address, now: float) -> bool:
-        """Record a failed connect. Return whether it opens a closed circuit."""
+        """Record a failed connect. Return whether it opens the circuit, which was closed before."""
         key = upstream, address
         breaker = self._breakers.get(key)
         if breaker is None:
--- a/indigokeel/net/upstream/connection.py
+++ b/indigokeel/net/upstream/connection.py
@@ -1,8 +1,8 @@
-"""A connection to an upstream, from the connect to the close. Its protocol is handed in.
+"""A connection to an upstream, from the connect to the close.
 
-The socket is used directly, without a transport of the event loop: every step is a call that has happened
-when it returns, and nothing is awaited. With uvloop's ``create_connection``, an open that is cancelled just
-as the connection is established closes the transport without notifying the protocol.
+The socket is used directly, without a transport of the event loop, so that each operation has taken effect
+when its call returns and nothing is awaited. With uvloop's ``create_connection``, a connect that is cancelled
+just as it completes closes the transport without notifying the protocol.
 """
 
 from __future__ import annotations
@@ -22,46 +22,46 @@
 from indigokeel.net.upstream.socket_reader import SocketReader
 from indigokeel.net.upstream.socket_writer import SocketWriter
 
-_UNKNOWN_ERROR = -1  # for errors that carry no errno, as of a name that cannot be resolved
+_UNKNOWN_ERRNO = -1  # for errors without an errno, such as a name that cannot be resolved
 
 
 @dataclass(frozen=True, slots=True)
 class CloseReason:
-    """How a connection ended."""
+    """The reason why a connection was closed."""
 
-    has_unsent_data: bool = False  # bytes that the system had not taken
-    at_eof: bool = False  # the peer has closed it in order
+    has_unsent_data: bool = False  # whether the kernel had not accepted all written bytes
+    at_eof: bool = False  # whether the peer closed the connection without an error
     is_local_error: bool = False
 
 
 class ConnectionHandler(Protocol):
-    """The protocol spoken on a connection."""
+    """The implementation of the protocol that is spoken on a connection."""
 
     def on_data(self, data: bytes) -> None:
         """Handle received bytes."""
 
     def on_writable(self) -> None:
-        """Handle that all bytes were written after a write that the system did not take at once."""
+        """Handle that the kernel has accepted all bytes, after a write that it did not accept in full."""
 
     def on_closed(self, reason: CloseReason) -> None:
-        """Handle the end of the connection, unless this side has closed it."""
+        """Handle the close of the connection, unless ``UpstreamConnection.close`` was called."""
 
 
 class ConnectionOwner(Protocol):
-    """The owner of connections, notified of changes that it did not make itself."""
+    """The owner of connections, notified of changes that it has not made itself."""
 
     def on_connected(self, connection: UpstreamConnection) -> None:
         """Handle a successful connect."""
 
     def on_closed(self, connection: UpstreamConnection, error: OSError | None) -> None:
-        """Handle the end of a connection; ``error`` is set if its connect failed."""
+        """Handle the close of a connection; ``error`` is the reason if its connect failed."""
 
     def on_handler_error(self, error: Exception) -> None:
-        """Handle an unexpected error in a connection's handler."""
+        """Handle an unexpected exception in a connection's handler."""
 
 
 class UpstreamConnection:
-    """A connection. ``state`` is changed by the connection table; the descriptor is owned here."""
+    """A connection, which owns its socket. Only the connection table changes ``state``."""
 
     __slots__ = (
         "_connect_timeout_s", "_connect_timer", "_loop", "_owner", "_reader", "_sock", "_watching_connect",
@@ -81,8 +81,8 @@
         self.address = address
         self.state = ConnectionState.OPENING
         self.fd = -1
-        self.inode = 0  # of the socket, for the descriptor audit
-        self.calls = 0  # that are in progress
+        self.inode = 0  # of the socket, compared by the descriptor audit
+        self.calls = 0  # in progress
         self.idle_since = 0.0
         self.handler: ConnectionHandler | None = None
         self._sock: socket.socket | None = None
@@ -96,7 +96,7 @@
     def open(self, timeout_s: float) -> None:
         """Start to connect; the owner is notified of the result within ``timeout_s`` seconds.
 
-        Raises OSError if the connect fails at once, and LocalError if this machine is the cause.
+        Raise OSError if the connect fails at once, or LocalError if the cause is on this machine.
         """
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         try:
@@ -115,9 +115,10 @@
         self._sock = sock
 
     def check_connected(self) -> bool:
-        """Ask the system whether the connect has completed. Return whether it has succeeded.
+        """Check whether the connect has completed by now. Return whether it has succeeded.
 
-        An event loop that runs late calls its timers before it looks at its sockets.
+        A delayed event loop runs its timers before it polls its sockets, so a timeout may precede the event
+        of a connect that has completed in time.
         """
         if self._sock is None or self.state is not ConnectionState.OPENING:
             return False
@@ -132,37 +133,37 @@
         return self.state is not ConnectionState.OPENING and self._sock is not None
 
     def write_first(self, chunks: Sequence[bytes]) -> bool:
-        """Write the start of a message; raises LocalError, with nothing written, if this machine cannot.
+        """Write the start of a message and return the result as ``write`` does.
 
-        Return as ``write``.
+        Raise LocalError, with nothing written, if the write fails for lack of a local resource.
         """
         return self._writer.write(chunks, True)
 
     def write(self, chunks: Sequence[bytes]) -> bool:
-        """Write, now or as soon as the system takes more.
+        """Write, and keep the bytes that the kernel does not accept yet to write them later.
 
-        Return False if the connection is broken, so that not all was written; the caller has to close it.
+        Return False if the connection is broken and not all was written; the caller has to close it.
         """
         return self._writer.write(chunks)
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop reading until ``resume`` is called."""
         self._reader.pause()
 
     def resume(self) -> None:
-        """Read again after a pause."""
+        """Continue reading after a pause."""
         self._reader.resume()
 
-    def is_quiet(self) -> bool:
-        """Return whether the peer has sent nothing and not closed the connection, asked of the system."""
-        return self._reader.is_quiet()
+    def has_no_pending_events(self) -> bool:
+        """Poll the socket. Return whether it has no unread data, end of stream or error."""
+        return self._reader.has_no_pending_events()
 
     def has_unsent_data(self) -> bool:
-        """Return whether written bytes are unsent or lost, so that no other call may follow."""
+        """Return whether written bytes are unsent or lost, so that the connection cannot be reused."""
         return self._sock is None or self._writer.has_unsent
 
     def close(self) -> None:
-        """Close the connection at once, without a notification. May be called again."""
+        """Close the connection at once, without notifying the handler or the owner. Idempotent."""
         sock = self._sock
         if sock is None:
             return
@@ -177,10 +178,10 @@
             sock.close()
 
     def detach(self) -> None:
-        """Give up a descriptor that belongs to something else by now, and notify the handler."""
+        """Abandon a descriptor that may belong to another owner by now, and notify the handler."""
         if self._sock is not None:
             for stop_watching in (self._reader.detach, self._writer.detach, self._stop_watching_connect):
-                with contextlib.suppress(Exception):  # the new owner may watch the same number
+                with contextlib.suppress(Exception):  # the new owner may have registered the same number
                     stop_watching()
             self._sock.detach()
         handler = self.handler
@@ -201,15 +202,15 @@
             self._fail(None)
 
     def on_read_end(self, at_eof: bool) -> None:
-        """End the connection (ReadEvents)."""
+        """Close the connection and notify the handler and the owner (ReadEvents)."""
         self._fail(None, at_eof)
 
     def expects_data(self) -> bool:
-        """Return whether a call is in progress (ReadEvents)."""
+        """Return whether a response may be expected (ReadEvents)."""
         return self.state is ConnectionState.IN_USE
 
     def on_all_written(self) -> None:
-        """Notify the handler (WriteEvents)."""
+        """Notify the handler that all bytes are written (WriteEvents)."""
         try:
             if self.handler is not None:
                 self.handler.on_writable()
@@ -218,7 +219,7 @@
             self._fail(None)
 
     def on_write_error(self, error: LocalError | None) -> None:
-        """End the connection (WriteEvents)."""
+        """Close the connection and notify the handler and the owner (WriteEvents)."""
         self._fail(error)
 
     def _connect(self, sock: socket.socket) -> None:
@@ -229,11 +230,11 @@
         except OSError as error:
             raise typed(error.errno, Step.PREPARE) from error
         try:
-            number = sock.connect_ex(self.address)
+            error_number = sock.connect_ex(self.address)
         except OSError as error:
-            number = error.errno or _UNKNOWN_ERROR
-        if meaning(number, Step.CONNECT) is not Meaning.GOES_ON:
-            raise typed(number, Step.CONNECT)
+            error_number = error.errno or _UNKNOWN_ERRNO
+        if meaning(error_number, Step.CONNECT) is not Meaning.GOES_ON:
+            raise typed(error_number, Step.CONNECT)
         try:
             self._loop.add_writer(self.fd, self._on_connect_event)
         except OSError as error:
@@ -247,16 +248,18 @@
             return
         step = Step.CONNECTING
         try:
-            number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if not number:
-                self._reader.start(sock)  # before the writer is removed, so that the watch is only changed
+            error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if not error_number:
+                self._reader.start(
+                    sock
+                )  # before the writer is removed, so that the descriptor stays registered
         except OSError as error:
-            number = error.errno or _UNKNOWN_ERROR
+            error_number = error.errno or _UNKNOWN_ERRNO
             step = Step.PREPARE
-        if not number:
+        if not error_number:
             self._on_connected()
-        elif meaning(number, step) is not Meaning.GOES_ON:
-            self._fail(typed(number, step))
+        elif meaning(error_number, step) is not Meaning.GOES_ON:
+            self._fail(typed(error_number, step))
 
     def _on_connected(self) -> None:
         self._cancel_connect_timer()
@@ -269,7 +272,7 @@
         if self.state is not ConnectionState.OPENING:
             return
         if not self.check_connected() and self._sock is not None:
-            self._fail(TimeoutError("no connection in time"))
+            self._fail(TimeoutError("connect timed out"))
 
     def _fail(self, error: OSError | None, at_eof: bool = False) -> None:
         """Close the connection and notify the handler and the owner."""
--- a/indigokeel/net/upstream/connection_pool.py
+++ b/indigokeel/net/upstream/connection_pool.py
@@ -217,7 +217,7 @@
                 if self.idle_resets.is_risky(now, idle_s, unsafe):
                     if not self.idle_resets.is_risky(now, idle_s):
                         return None  # kept open for requests that are safe to send again
-                elif connection.is_quiet():
+                elif connection.has_no_pending_events():
                     self.table.move(connection, ConnectionState.IN_USE)
                     return connection
             self.close(connection)
--- a/indigokeel/net/upstream/connector.py
+++ b/indigokeel/net/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections within the limits, the circuit breakers and the backoff of this machine."""
+"""Opens connections as far as the limits, the circuit breakers and the backoff allow."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from indigokeel.net.upstream.connection_table import ConnectionState, ConnectionTable
 from indigokeel.net.upstream.telemetry import Telemetry
 
-_LOCAL_ERROR_LOG_INTERVAL_S = 1.0  # local errors may occur hundreds of times a second
+_LOCAL_ERROR_LOG_INTERVAL_S = 1.0  # as local errors may occur hundreds of times per second
 
 
 class Connector:
-    """Starts connects and keeps track of their results."""
+    """Starts connects and records their results."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         connect_timeout_s: float,
         on_resume: Callable[[str | None], None],
     ) -> None:
-        """``on_resume`` is called when connects to an upstream (None: to all) may start again."""
+        """``on_resume`` is called when a suspension of connects to an upstream (None: to all) ends."""
         self.connect_timeout_s = connect_timeout_s
         self._table = table
         self._owner = owner
@@ -39,27 +39,27 @@
         self._on_resume = on_resume
         self._breakers = CircuitBreakers(random)
         self._backoff = ConnectBackoff(random)
-        self._started_at: dict[UpstreamConnection, float] = {}  # of the connections that are opening
+        self._started_at: dict[UpstreamConnection, float] = {}  # start times of the connects in progress
         self._local_error_logged_at = -math.inf
 
     def may_connect(self, upstream: str, address: Address) -> bool:
-        """Return whether the circuit breaker allows a connect."""
+        """Return whether the circuit breaker of an address allows a connect."""
         return self._breakers.allows(upstream, address, self._telemetry.clock())
 
     def has_failures(self, upstream: str, address: Address) -> bool:
-        """Return whether connects to an address have failed since its last success."""
+        """Return whether a connect to an address has failed since the last one that succeeded."""
         return self._breakers.has_failures(upstream, address)
 
     def is_suspended(self, upstream: str) -> bool:
-        """Return whether a local error keeps connects to an upstream from being started."""
+        """Return whether connects to an upstream are suspended after a local error."""
         return self._backoff.is_active(upstream)
 
     def was_suspended_since(self, upstream: str, since: float) -> bool:
-        """Return whether connects to an upstream were suspended at any time since ``since``."""
+        """Return whether connects to an upstream were suspended at any time from ``since`` on."""
         return self._backoff.was_active_since(upstream, since)
 
     def open(self, upstream: str, address: Address) -> bool:
-        """Start a connect. Return False if there is no capacity for it or it fails at once."""
+        """Start a connect. Return False if there is no capacity for it, or if it fails at once."""
         if self._table.is_full() and not self.shed_idle():
             return False
         connection = self._connect(upstream, address)
@@ -89,7 +89,7 @@
         self._breakers.on_connected(connection.upstream, connection.address)
 
     def on_connect_failed(self, upstream: str, address: Address) -> None:
-        """Record a connect that failed on the side of the upstream."""
+        """Record a connect that failed because of the upstream or the network."""
         self._telemetry.count("connects_failed")
         if self._breakers.on_connect_failed(upstream, address, self._telemetry.clock()):
             self._telemetry.count("circuit_breakers_opened")
@@ -99,15 +99,15 @@
             )
 
     def on_local_error(self, connection: UpstreamConnection, error: LocalError) -> None:
-        """Record a started connect that failed on this machine."""
+        """Record a connect in progress that failed because of a local error."""
         self._breakers.on_connect_cancelled(connection.upstream, connection.address)
         self._suspend(connection.upstream, connection.address, error)
 
     def on_connect_cancelled(self, connection: UpstreamConnection, timed_out_since: float | None) -> None:
-        """Record a connect that is about to be cancelled, as fewer are needed.
+        """Record a connect that is about to be cancelled because it is no longer needed.
 
-        ``timed_out_since`` is the start of a wait that has timed out; a connect that was in progress for all
-        of it counts as failed.
+        ``timed_out_since`` is the start of a wait that has timed out, if that is the reason. A connect that
+        was in progress for all of that wait counts as failed.
         """
         started_at = self._started_at.get(connection)
         if timed_out_since is not None and (started_at is None or started_at <= timed_out_since):
@@ -116,12 +116,12 @@
             self._breakers.on_connect_cancelled(connection.upstream, connection.address)
 
     def drop_expired(self, now: float) -> None:
-        """Drop the state of upstreams that had no failures for long."""
+        """Drop the circuit breakers and suspensions that have expired."""
         self._breakers.drop_expired(now)
         self._backoff.drop_expired(now)
 
     def _connect(self, upstream: str, address: Address) -> UpstreamConnection | None:
-        """Start a connect, if need be with the descriptor of an idle connection."""
+        """Start a connect. Close an idle connection first if no descriptor is free."""
         try:
             try:
                 return self._start(upstream, address)
@@ -151,7 +151,7 @@
         return True
 
     def _suspend(self, upstream: str, address: Address, error: LocalError) -> None:
-        """Suspend connects after a local error: to all upstreams, if none could be reached."""
+        """Suspend connects after a local error, to all upstreams if it would affect them all."""
         scope = None if error.exhausted else upstream
         delay_s = self._backoff.suspend(self._telemetry.clock(), scope)
         self._report_local_error(upstream, address, error, f"retrying in {1000.0 * delay_s:.0f} ms")
--- a/indigokeel/net/upstream/socket_reader.py
+++ b/indigokeel/net/upstream/socket_reader.py
@@ -62,8 +62,8 @@
             self._loop.add_reader(self._sock.fileno(), self._on_readable)
             self._watching = True
 
-    def is_quiet(self) -> bool:
-        """Return whether the socket has neither data nor an end nor an error, asked of the system."""
+    def has_no_pending_events(self) -> bool:
+        """Poll the socket. Return whether it has no unread data, end of stream or error."""
         return self._sock is not None and not self._poll_events()
 
     def close(self) -> None:
--- a/indigokeel/net/upstream/waiter_queue.py
+++ b/indigokeel/net/upstream/waiter_queue.py
@@ -1,4 +1,4 @@
-"""The attempts that wait for a connection, in order of arrival."""
+"""The queue of waiters for connections, in order of arrival."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 
 
 class ConnectFailure(Enum):
-    """Why a wait ended without a connection."""
+    """The reason why a wait ended without a connection."""
 
-    UPSTREAM = "upstream"  # connects to it failed, or none completed in time
-    LOCAL = "local"  # this machine could not start a connect for some of the time
+    UPSTREAM = (
+        "upstream"  # connects failed, were rejected by the circuit breaker, or did not complete in time
+    )
+    LOCAL = "local"  # connects were suspended by a local error during a part of the wait
 
 
 OnResult = Callable[[UpstreamConnection | ConnectFailure], None]
@@ -23,7 +25,7 @@
 class ConnectionWaiter:
     """A wait for a connection to an upstream.
 
-    It ends with one call of ``on_result`` or with ``ConnectionPool.cancel``.
+    The wait ends with one call of ``on_result``, or with ``ConnectionPool.cancel``.
     """
 
     __slots__ = ("address", "on_result", "started_at", "timer", "upstream")
@@ -36,14 +38,14 @@
         self.timer: asyncio.Handle | None = None
 
     def cancel_timer(self) -> None:
-        """Cancel the call that is scheduled for the waiter, if any."""
+        """Cancel the timeout, or the notification that is scheduled, if any."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
 
 class WaiterQueue:
-    """The waiters of all upstreams."""
+    """The waiters for connections to all upstreams."""
 
     def __init__(self) -> None:
         self._by_upstream: dict[str, dict[ConnectionWaiter, None]] = {}
@@ -58,7 +60,7 @@
         return waiter in self._by_upstream.get(waiter.upstream, ())
 
     def append(self, waiter: ConnectionWaiter) -> None:
-        """Add a waiter behind those of its upstream."""
+        """Add a waiter after the others for its upstream."""
         self._by_upstream.setdefault(waiter.upstream, {})[waiter] = None
 
     def remove(self, waiter: ConnectionWaiter) -> bool:
@@ -80,7 +82,7 @@
         return next(iter(self._by_upstream.get(upstream, ())), None)
 
     def first_for(self, connection: UpstreamConnection) -> ConnectionWaiter | None:
-        """Return the first waiter that a connection suits."""
+        """Return the first waiter for the upstream and address of a connection."""
         waiters = self._by_upstream.get(connection.upstream)
         if waiters is None:
             return None
@@ -91,5 +93,5 @@
         return list(self._by_upstream)
 
     def waiters(self, upstream: str) -> list[ConnectionWaiter]:
-        """Return the waiters for an upstream in order."""
+        """Return the waiters for an upstream, in order of arrival."""
         return list(self._by_upstream.get(upstream, ()))
