--- a/indigokeel/net/upstream/descriptor_audit.py
+++ b/indigokeel/net/upstream/descriptor_audit.py
@@ -1,4 +1,4 @@
-"""Compares the connection table with the descriptors that the process holds, and repairs differences."""
+"""Compares the connection table with the open sockets of the process, and repairs differences."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 from indigokeel.net.upstream.connection import UpstreamConnection
 
 _DESCRIPTOR_DIRECTORY = "/proc/self/fd"
-_LEAK_AGE_S = 8.0  # and _LEAK_SIGHTINGS: a busy event loop may hold an accepted socket for a while
-_LEAK_SIGHTINGS = 3
-_MAX_DESCRIPTORS = 65536  # checked one by one where the system does not list them
+# A socket without an owner counts as leaked once it has been found for this long and in this many audits:
+# a busy event loop may hold an accepted socket for a while before handing it over.
+_LEAK_MIN_AGE_S = 8.0
+_LEAK_MIN_AUDITS = 3
+_MAX_DESCRIPTORS = 65536  # checked one by one if they cannot be listed
 _LAST_STANDARD_DESCRIPTOR = 2
 
 
 class MismatchKind(Enum):
-    """How the table and the process differ."""
+    """A kind of difference between the owned and the open sockets."""
 
-    MISSING = "missing"  # in the table, but not open
+    MISSING = "missing"  # in the connection table, but not open
     LEAKED = "leaked"  # open, but with no owner
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorMismatch:
-    """One difference between the owned and the open descriptors."""
+    """A difference between the owned and the open sockets."""
 
     kind: MismatchKind
     fd: int
@@ -38,15 +40,15 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """An open socket without an owner."""
+    """An open socket without an owner, which may be leaked."""
 
     inode: int
     first_seen: float
-    sightings: int = 0
+    audits: int = 0  # that have found it
 
 
-def _inode(fd: int) -> int | None:
-    """Return the inode of an open socket, or None if the descriptor is none."""
+def _socket_inode(fd: int) -> int | None:
+    """Return the inode of an open socket, or None if the descriptor is closed or not a socket."""
     with contextlib.suppress(OSError, OverflowError):
         status = os.fstat(fd)
         if stat.S_ISSOCK(status.st_mode):
@@ -55,21 +57,21 @@
 
 
 def sockets() -> dict[int, int]:
-    """Return the inodes of the open sockets by descriptor; some systems list only a part of them."""
+    """Return the inodes of the open sockets by descriptor; some systems do not list all of them."""
     try:
         descriptors = [int(name) for name in os.listdir(_DESCRIPTOR_DIRECTORY)]
-    except OSError:  # listing takes a descriptor, and there may be none left
+    except OSError:  # listing needs a free descriptor, and there may be none
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         descriptors = list(range(min(limit, _MAX_DESCRIPTORS)))
-    inodes = ((fd, _inode(fd)) for fd in descriptors)
+    inodes = ((fd, _socket_inode(fd)) for fd in descriptors)
     return {fd: inode for fd, inode in inodes if inode is not None}
 
 
 class DescriptorLeakDetector:
-    """Finds table entries without a descriptor and sockets without an owner.
+    """Finds connections without an open descriptor, and open sockets without an owner.
 
-    A connection whose descriptor is missing is discarded. A socket without an owner is shut down, which an
-    owner that exists after all takes for the end of its connection.
+    A connection whose descriptor is missing is discarded. A socket without an owner is shut down but not
+    closed: if it has an owner after all, that owner sees the end of its connection.
     """
 
     def __init__(
@@ -81,9 +83,10 @@
         log: Callable[[str, str], None],
         clock: Callable[[], float],
     ) -> None:
-        """Take the sockets that are open now for the event loop's own.
+        """Create a detector; the sockets that are open now are taken to belong to the event loop.
 
-        ``other_descriptors`` returns those of the listener and the clients; ``log`` takes a level and a text.
+        ``other_descriptors`` returns the descriptors of the listener and the client connections, with a
+        description each. ``log`` takes a level and a text.
         """
         self._connections = connections
         self._discard = discard
@@ -92,10 +95,10 @@
         self._log = log
         self._clock = clock
         self._suspects: dict[int, _Suspect] = {}
-        self._own = sockets()
+        self._event_loop_sockets = sockets()
 
     def look(self) -> list[DescriptorMismatch]:
-        """Compare once. Return the differences that were found and repaired."""
+        """Run one audit. Return the differences that were found and repaired."""
         open_sockets = sockets()
         owned = set(self._other_descriptors())
         mismatches = [*self._find_missing(owned), *self._find_leaked(open_sockets, owned)]
@@ -107,11 +110,11 @@
         return mismatches
 
     def _find_missing(self, owned: set[int]) -> list[DescriptorMismatch]:
-        """Discard the connections without a descriptor, and add those of the others to ``owned``."""
+        """Discard connections without an open descriptor, and add the descriptors of others to ``owned``."""
         missing = []
         for connection in list(self._connections()):
-            # Asked of the descriptor itself, as a listing may be incomplete.
-            if connection.fd >= 0 and _inode(connection.fd) == connection.inode:
+            # The descriptor itself is checked, as the list of open sockets may be incomplete.
+            if connection.fd >= 0 and _socket_inode(connection.fd) == connection.inode:
                 owned.add(connection.fd)
                 continue
             text = f"connection to {connection.upstream}, {connection.state.value}"
@@ -120,19 +123,19 @@
         return missing
 
     def _find_leaked(self, open_sockets: dict[int, int], owned: set[int]) -> list[DescriptorMismatch]:
-        """Shut down the sockets that have had no owner for several audits."""
+        """Shut down the sockets that had no owner in several audits."""
         now = self._clock()
         suspects: dict[int, _Suspect] = {}
         leaked = []
         for fd, inode in open_sockets.items():
-            if fd in owned or self._own.get(fd) == inode or fd <= _LAST_STANDARD_DESCRIPTOR:
+            if fd in owned or self._event_loop_sockets.get(fd) == inode or fd <= _LAST_STANDARD_DESCRIPTOR:
                 continue
             suspect = self._suspects.get(fd)
             if suspect is None or suspect.inode != inode:
                 suspect = _Suspect(inode, now)
-            suspect.sightings += 1
+            suspect.audits += 1
             suspects[fd] = suspect
-            if suspect.sightings >= _LEAK_SIGHTINGS and now - suspect.first_seen >= _LEAK_AGE_S:
+            if suspect.audits >= _LEAK_MIN_AUDITS and now - suspect.first_seen >= _LEAK_MIN_AGE_S:
                 leaked.append(DescriptorMismatch(MismatchKind.LEAKED, fd, f"socket {inode}"))
                 _shut_down(fd)
         self._suspects = suspects
@@ -140,7 +143,7 @@
 
 
 def _shut_down(fd: int) -> None:
-    """Shut a socket down, unless it listens: other processes may share a listener."""
+    """Shut down a socket, unless it is a listener, which other processes may share."""
     with contextlib.suppress(OSError), socket.socket(fileno=os.dup(fd)) as duplicate:
         if not duplicate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             duplicate.shutdown(socket.SHUT_RDWR)
--- a/indigokeel/net/upstream/health_check.py
+++ b/indigokeel/net/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: a request for the load of an upstream."""
+"""Health checks: requests to upstreams for a load report."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from indigokeel.net.upstream.upstream_exchange import UpstreamExchange
 from indigokeel.net.upstream.waiter_queue import ConnectFailure, ConnectionWaiter
 
-_TIMEOUT_S = 1.0  # for the connect and the exchange
+_TIMEOUT_S = 1.0  # for acquiring a connection and the exchange together
 _LOAD_PREFIX = "Server-Load:"
 
 
 class HealthCheckResult(NamedTuple):
-    """The outcome of a health check, and the load that the upstream reported."""
+    """The outcome of a health check, and the load report of the upstream."""
 
     outcome: AttemptOutcome
     load: LoadReport | None = None
 
 
 class _HealthCheckCall:
-    """One health check in progress (Call)."""
+    """A health check in progress (Call)."""
 
     streams_response = False
 
@@ -42,12 +42,12 @@
         self._message = b""
 
     def on_acquired(self, result: UpstreamConnection | ConnectFailure) -> None:
-        """Take the result of the wait for a connection."""
+        """Store the result of the wait for a connection."""
         if not self.acquired.done():
             self.acquired.set_result(result)
 
     async def run(self, connection: UpstreamConnection) -> UpstreamResponse:
-        """Send the request and return the response; raises LocalError if this machine cannot write."""
+        """Send the request and return the response; raises LocalError if the write fails locally."""
         exchange = connection.handler
         assert isinstance(exchange, UpstreamExchange)
         self.connection = connection
@@ -59,7 +59,7 @@
         return response
 
     def held_connection(self) -> UpstreamConnection | None:
-        """Return the connection, also if the check was cancelled just as it was acquired."""
+        """Return the acquired connection, even if the check was cancelled before it could use it."""
         if self.connection is None and self.acquired.done() and not self.acquired.cancelled():
             result = self.acquired.result()
             return result if isinstance(result, UpstreamConnection) else None
@@ -73,7 +73,7 @@
         """Do nothing: the response is read in full (Call)."""
 
     def on_response_ended(self, response: UpstreamResponse, is_reusable: bool) -> None:
-        """Take the response (Call)."""
+        """Store the response (Call)."""
         if not self._ended.done():
             self._ended.set_result((response, is_reusable))
 
@@ -88,14 +88,14 @@
         find_address: Callable[[str], Address | None],
         connect_timeout_s: float,
     ) -> None:
-        """``find_address`` returns None for an upstream that accepts no requests."""
+        """``find_address`` returns the address of an upstream, or None if it accepts no requests."""
         self.connect_timeout_s = connect_timeout_s
         self._connections = connections
         self._releaser = releaser
         self._find_address = find_address
 
     async def check(self, upstream: str) -> HealthCheckResult:
-        """Ask an upstream for its load."""
+        """Request a load report from an upstream."""
         address = self._find_address(upstream)
         if address is None:
             return HealthCheckResult(AttemptOutcome.NOT_SENT)
@@ -143,11 +143,11 @@
 
 
 def _result_of_response(response: UpstreamResponse) -> HealthCheckResult:
-    """Return the load from the body, or from the head for an upstream that reports it there."""
+    """Return the load report from the ``Server-Load`` header if there is one, or else from the body."""
     if response.outcome in (AttemptOutcome.BROKEN, AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT):
         return HealthCheckResult(response.outcome)
     if response.outcome is not AttemptOutcome.OK:
-        # The only other answer to a health check is 503, which is no fault of the upstream.
+        # The only other response to a health check is 503, which is not a failure of the upstream.
         return HealthCheckResult(AttemptOutcome.REJECTED, response.load)
     text = b"".join(response.body or ()).decode("latin-1").removeprefix(_LOAD_PREFIX)
     return HealthCheckResult(AttemptOutcome.OK, response.load or http.parse_load_report(text))
--- a/indigokeel/net/upstream/request_head.py
+++ b/indigokeel/net/upstream/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request to an upstream, up to and behind the timeout that is written last."""
+"""The head of a request to an upstream, in two parts: before and after the value of its timeout."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def head_after_timeout(outbound: OutboundRequest) -> bytes:
-    """Return the head from behind the value of ``Request-Timeout-Ms``."""
+    """Return the rest of the head, after the value of ``Request-Timeout-Ms``."""
     head = b"\r\n" if outbound.key is None else b"\r\nIdempotency-Key: %s\r\n" % outbound.key
     request_stream = outbound.request_stream
     if request_stream is not None and request_stream.length < 0:
--- a/indigokeel/net/upstream/response_parser.py
+++ b/indigokeel/net/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""Parses and checks one response of an upstream, HTTP/1.1 without I/O."""
+"""Parses and validates one HTTP/1.1 response of an upstream. No I/O."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from indigokeel.net import http
 from indigokeel.net.messages import UpstreamResponse
 
-_MAX_INTERIM_RESPONSES = 16  # with status 1xx, before the final one
-_STREAM_THRESHOLD_BYTES = 16 * 1024  # of a body of unknown length, from where it is streamed
+_MAX_INTERIM_RESPONSES = 16  # with status 1xx, before the final response
+_STREAM_THRESHOLD_BYTES = 16 * 1024  # a body of unknown length is streamed once more than this has arrived
 _END_OF_HEAD = b"\r\n\r\n"
 _LAST_CHUNK = b"0\r\n\r\n"
 
@@ -19,10 +19,10 @@
 
 
 class ResponseParser:
-    """Parses the next response on a connection. httptools calls the ``on_`` methods.
+    """Parses the next response on a connection. The ``on_`` methods are callbacks of httptools.
 
-    ``is_reusable`` is set when the response is complete, nothing follows it and the upstream keeps the
-    connection open. The bytes are counted for that, as llhttp skips empty lines behind a response.
+    ``is_reusable`` is set when the response is complete, no bytes follow it and the upstream keeps the
+    connection open. Received bytes are counted for this, because llhttp skips empty lines after a response.
     """
 
     __slots__ = (
@@ -37,8 +37,8 @@
         self._received_bytes = 0
         self._body_bytes = 0
         self._body_start = -1
-        self._head = b""  # what was received, up to the end of the head
-        self._tail = b""  # the last bytes of a chunked body
+        self._head = b""  # the bytes received until the end of the head is found
+        self._tail = b""  # the last received bytes of a chunked body
         self._keeps_alive = False
         self._ends_at_eof = False
         self.headers: dict[bytes, bytes] = {}
@@ -57,7 +57,9 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if not self.complete:  # an error behind a complete response only makes the connection unusable
+            if (
+                not self.complete
+            ):  # after a complete response, an error only makes the connection not reusable
                 raise InvalidResponseError(str(error)) from None
             return
         if self._body_start < 0:
@@ -68,13 +70,13 @@
             self.is_reusable = self._keeps_alive and self._ends_with_response()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header; raises InvalidResponseError on a second one that gives the length."""
+        """Store a header; raises InvalidResponseError if one that gives the length is repeated."""
         if self.complete:
             return
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding") and name in self.headers:
-            raise InvalidResponseError("two lengths")
-        # llhttp does not recognize a transfer coding with a tab behind it.
+            raise InvalidResponseError("repeated Content-Length or Transfer-Encoding header")
+        # llhttp does not recognize a transfer coding that is followed by a tab.
         self.headers[name] = value.strip(b" " if name == b"transfer-encoding" else b" \t")
 
     def on_headers_complete(self) -> None:
@@ -87,31 +89,31 @@
             return
         self._check_framing(status)
         if status != 200 and self.length > http.MAX_BODY:
-            raise InvalidResponseError("an error with a long body")
+            raise InvalidResponseError("the body of an error response is too large")
         self.status = status
 
     def on_body(self, data: bytes) -> None:
-        """Store a part of the body; raises InvalidResponseError on an error that is too long."""
+        """Store a part of the body; raises InvalidResponseError if that of an error response is too large."""
         if self.complete:
             return
         self._body_bytes += len(data)
         if self._body_bytes > http.MAX_BODY and self.status != 200:
-            raise InvalidResponseError("an error with a long body")
+            raise InvalidResponseError("the body of an error response is too large")
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Mark the response as complete, unless it is an interim one."""
+        """Mark the response as complete, unless it is an interim response."""
         if self.status and not self.complete:
             self.complete = True
             self._keeps_alive = self._parser.should_keep_alive()  # only valid in this callback
 
     def feed_eof(self) -> bool:
-        """Handle the end of the connection. Return whether the response is complete with it."""
+        """Handle the end of the stream. Return whether the response is complete."""
         self.complete = self.complete or self._ends_at_eof
         return self.complete
 
     def is_long(self) -> bool:
-        """Return whether a successful response in progress is too long to be read in full."""
+        """Return whether a successful response in progress is too long to be buffered in full."""
         if self.status != 200 or self.complete or not self.body:
             return False
         if self.length < 0:
@@ -119,7 +121,7 @@
         return self.length > http.MAX_BODY
 
     def take_body(self) -> http.Body:
-        """Remove and return the parts of the body that were received since the last call."""
+        """Remove and return the parts of the body received since the last call."""
         body = self.body
         self.body = []
         return body
@@ -130,13 +132,13 @@
         load = http.parse_load_report(report.decode("latin-1")) if report else None
         if self.status == 200:
             return UpstreamResponse(AttemptOutcome.OK, load, self.body)
-        # Without this header the upstream may have started the request.
+        # Without this header, the upstream may have started to run the request.
         if self.status in (503, 504) and self.headers.get(b"not-started") == b"1":
             return UpstreamResponse(AttemptOutcome.REJECTED, load)
         return UpstreamResponse(AttemptOutcome.ERROR, load)
 
     def _find_body_start(self) -> None:
-        """Locate the body behind the final head; raises InvalidResponseError if there is none in time."""
+        """Locate the body after the final head; raises InvalidResponseError if the head is too large."""
         if self.status >= 200:
             start = 0
             for _ in range(self._interim_responses + 1):
@@ -144,10 +146,10 @@
             self._body_start = start
             self._head = b""
         elif len(self._head) > http.MAX_HEAD:
-            raise InvalidResponseError("a head without an end")
+            raise InvalidResponseError("the response head is too large")
 
     def _ends_with_response(self) -> bool:
-        """Return whether the last received byte is the last of the response."""
+        """Return whether the last byte received is the last byte of the response."""
         if self.chunked:
             return self._tail == _LAST_CHUNK
         return self._received_bytes == self._body_start + self.length
@@ -155,24 +157,24 @@
     def _skip_interim_response(self, status: int) -> None:
         self._interim_responses += 1
         if self._interim_responses > _MAX_INTERIM_RESPONSES or status == 101:
-            raise InvalidResponseError("no final response")
+            raise InvalidResponseError("too many interim responses, or a protocol switch")
         self.headers.clear()
 
     def _check_framing(self, status: int) -> None:
-        """Require exactly one indication of where the body ends.
+        """Require exactly one indication of the end of the body.
 
-        Without one, a truncated response would pass for complete; with two, the bytes behind the response
-        could be taken for its body, or the other way round. The end of the connection is one if it is
-        announced.
+        Without one, a truncated response would pass for a complete one. With two, bytes after the response
+        could be taken for its body, or a part of its body for bytes after it. The close of the connection
+        counts as an indication if the response announces it.
         """
         length = self.headers.get(b"content-length")
         coding = self.headers.get(b"transfer-encoding")
         closes = self.headers.get(b"connection", b"").lower() == b"close"
         self._ends_at_eof = length is None and coding is None and closes and status == 200
         if (length is None) == (coding is None) and not self._ends_at_eof:
-            raise InvalidResponseError("no length, or two")
+            raise InvalidResponseError("neither or both of Content-Length and Transfer-Encoding")
         if coding is not None and coding.strip().lower() != b"chunked":
-            raise InvalidResponseError("an unsupported transfer coding")
+            raise InvalidResponseError("unsupported transfer coding")
         self.chunked = coding is not None
         if length is not None:
             self.length = int(length)
--- a/indigokeel/net/upstream/socket_reader.py
+++ b/indigokeel/net/upstream/socket_reader.py
@@ -1,4 +1,4 @@
-"""Reads from a non-blocking socket as the event loop reports it readable."""
+"""Reads from a non-blocking socket when the event loop reports it as readable."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from indigokeel.net.errors import Meaning, Step, meaning
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 
-_READ_BYTES = 64 * 1024  # at most, in one call
+_READ_BYTES = 64 * 1024  # at most, per read
 
 
 class ReadEvents(Protocol):
-    """The receiver of what is read."""
+    """The receiver of read data and of the end of the stream."""
 
     def on_data(self, data: bytes) -> None:
         """Handle received bytes."""
 
     def on_read_end(self, at_eof: bool) -> None:
-        """Handle the end of the stream, or an error of the connection."""
+        """Handle the end of the stream, or (not ``at_eof``) an error of the connection."""
 
     def expects_data(self) -> bool:
-        """Return whether a response is awaited."""
+        """Return whether a response may be expected."""
 
 
 class SocketReader:
-    """Reads from one socket, can be paused, and retries reads that fail on this machine."""
+    """Reads from one socket. Reading can be paused, and reads that fail locally are retried."""
 
     __slots__ = ("_events", "_loop", "_poll", "_retry_delays", "_retry_timer", "_sock", "_watching")
 
@@ -43,20 +43,20 @@
         self._retry_delays = retry_delays
 
     def start(self, sock: socket.socket) -> None:
-        """Start reading; raises OSError if the event loop cannot watch the socket."""
+        """Start reading; raises OSError if the event loop cannot register the socket."""
         self._loop.add_reader(sock.fileno(), self._on_readable)
         self._sock = sock
         self._watching = True
 
     def pause(self) -> None:
-        """Stop reading, so that the peer has to wait once the buffers of the system are full."""
+        """Stop reading, so that the peer is blocked once the socket buffers are full."""
         self._cancel_retry()
         if self._watching and self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._watching = False
 
     def resume(self) -> None:
-        """Read again after a pause."""
+        """Continue reading after a pause."""
         self._cancel_retry()
         if self._sock is not None and not self._watching:
             self._loop.add_reader(self._sock.fileno(), self._on_readable)
@@ -67,21 +67,21 @@
         return self._sock is not None and not self._poll_events()
 
     def close(self) -> None:
-        """Stop reading for good; the socket stays open."""
+        """Stop reading permanently; the socket stays open."""
         self.pause()
         self._sock = None
         self._poll = None
 
     def detach(self) -> None:
-        """Stop reading from a descriptor that may belong to something else by now."""
+        """Stop reading from a descriptor that may belong to another owner by now."""
         if self._watching and self._sock is not None:
             self._watching = False
             self._loop.remove_reader(self._sock.fileno())
 
     def _on_readable(self) -> None:
         self._receive()
-        # uvloop reports data and a reset that follows it as one event, so the error is polled for while a
-        # response is awaited. An idle connection is checked before its next use.
+        # uvloop reports data and a reset that follows it as one event, so the socket is polled for an error
+        # while a response is expected. An idle connection is checked before its next use.
         while self._watching and self._events.expects_data() and self._has_error():
             self._receive()
 
@@ -109,11 +109,11 @@
                 self._events.on_read_end(at_eof=False)
 
     def _has_error(self) -> bool:
-        """Return whether the system reports an error behind the data that can still be read."""
+        """Poll the socket. Return whether an error is pending, possibly after unread data."""
         return any(events & select.POLLERR for _, events in self._poll_events())
 
     def _poll_events(self) -> list[tuple[int, int]]:
-        """Return what the system reports on the socket, or nothing where it cannot."""
+        """Poll the socket. Return its pending events, or none if the poll fails."""
         if self._poll is None:
             if self._sock is None:
                 return []
--- a/indigokeel/net/upstream/socket_writer.py
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -1,4 +1,4 @@
-"""Writes to a non-blocking socket and keeps the bytes that the system has not taken yet."""
+"""Writes to a non-blocking socket, and buffers the bytes that the kernel has not accepted yet."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from indigokeel.net.errors import LocalError, Meaning, Step, meaning
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 
-_MAX_CHUNKS = 64  # written in one call; a system takes 1,024 at most (IOV_MAX)
+_MAX_CHUNKS = 64  # per writev call, which accepts 1,024 at most (IOV_MAX)
 _CLOSED = -1
 
 Chunks = Sequence[bytes | memoryview]
 
 
 class WriteEvents(Protocol):
-    """The receiver of what happens to unsent bytes later."""
+    """The receiver of the results of deferred writes."""
 
     def on_all_written(self) -> None:
-        """Handle that the system has taken the last of the unsent bytes."""
+        """Handle that the kernel has accepted the last of the unsent bytes."""
 
     def on_write_error(self, error: LocalError | None) -> None:
-        """Handle a write that failed for good: on this machine, or (None) by the connection."""
+        """Handle a deferred write that failed: locally, or (None) because the connection is broken."""
 
 
 class SocketWriter:
-    """Writes to one socket, in order, and retries writes that fail on this machine."""
+    """Writes to one socket, in order, and retries writes that fail locally."""
 
     __slots__ = (
         "_events", "_fd", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
@@ -44,24 +44,24 @@
         self._watching = False
         self._retry_timer: asyncio.TimerHandle | None = None
         self._retry_delays = retry_delays
-        self._stalled_s = 0.0  # total delay of retries since the last byte was written
+        self._stalled_s = 0.0  # total delay of retries since bytes were last written
         self._stall_timeout_s = 0.0
 
     def start(self, fd: int, stall_timeout_s: float) -> None:
-        """Allow writes; local failures are retried for ``stall_timeout_s`` seconds."""
+        """Allow writes. Those that fail locally are retried for ``stall_timeout_s`` seconds."""
         self._fd = fd
         self._stall_timeout_s = stall_timeout_s
 
     @property
     def has_unsent(self) -> bool:
-        """Whether bytes wait for the system to take them."""
+        """Whether the kernel has not accepted all bytes yet."""
         return bool(self._unsent)
 
     def write(self, chunks: Chunks, is_first: bool = False) -> bool:
-        """Write, now or as soon as the system takes more.
+        """Write, and keep the bytes that the kernel does not accept yet to write them later.
 
-        Return False if the connection is broken, so that not all was written. ``is_first`` marks the start of
-        a message: if this machine cannot write it, LocalError is raised and none of it is written.
+        Return False if the connection is broken and not all was written. ``is_first`` marks the start of a
+        message: if its write fails locally, LocalError is raised and nothing is written.
         """
         if self._fd == _CLOSED:
             return False
@@ -72,14 +72,14 @@
         if result is Meaning.UPSTREAM:
             return False
         if result is Meaning.LOCAL and is_first:
-            raise LocalError("this machine cannot write now")
+            raise LocalError("write failed for lack of a local resource")
         if written < sum(map(len, chunks)):
             self._unsent = _remaining(chunks, written)
             self._schedule(result)
         return True
 
     def close(self) -> None:
-        """Drop the unsent bytes and stop writing for good; the socket stays open."""
+        """Drop the unsent bytes and stop writing permanently; the socket stays open."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
             self._retry_timer = None
@@ -88,20 +88,20 @@
         self._unsent = []
 
     def detach(self) -> None:
-        """Stop writing to a descriptor that may belong to something else by now."""
+        """Stop writing to a descriptor that may belong to another owner by now."""
         if self._watching:
             self._watching = False
             self._loop.remove_writer(self._fd)
 
     def _write_once(self, chunks: Chunks) -> tuple[int, Meaning]:
-        """Return the number of bytes written, and what an error means."""
+        """Write once. Return the number of bytes written, and the meaning of the result."""
         try:
             return os.writev(self._fd, chunks[:_MAX_CHUNKS]), Meaning.GOES_ON
         except OSError as error:
             return 0, meaning(error.errno, Step.WRITE)
 
     def _schedule(self, result: Meaning) -> None:
-        """Continue when the system takes more, or after a delay if this machine could not write."""
+        """Continue when the socket is writable, or after a delay if the write failed locally."""
         if result is not Meaning.LOCAL:
             if not self._watching:
                 self._loop.add_writer(self._fd, self._on_writable)
@@ -121,7 +121,9 @@
             self._events.on_write_error(None)
             return
         if result is Meaning.LOCAL and self._stalled_s >= self._stall_timeout_s:
-            self._events.on_write_error(LocalError("this machine cannot write"))
+            self._events.on_write_error(
+                LocalError("write failed for lack of a local resource until the retries timed out")
+            )
             return
         if written:
             self._stalled_s = 0.0
@@ -140,7 +142,7 @@
 
 
 def _remaining(chunks: Chunks, written: int) -> list[bytes | memoryview]:
-    """Return what is left of some chunks after a number of bytes."""
+    """Return the chunks without their first ``written`` bytes."""
     remaining: list[bytes | memoryview] = []
     for chunk in chunks:
         if written >= len(chunk):
