--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -85,9 +85,8 @@
     """An attempt in flight. It is the ``Call`` of its exchange, and receives the result of its waiter."""
 
     __slots__ = (
-        "_backoff", "_client_disconnected", "_connection", "_exchange", "_head_after", "_head_before",
-        "_idle_s", "_is_streaming", "_outbound", "_pending", "_send_until", "_services", "attempt",
-        "on_ended",
+        "_backoff", "_connection", "_exchange", "_head_after", "_head_before", "_idle_s", "_is_streaming",
+        "_outbound", "_pending", "_send_until", "_services", "_client_disconnected", "attempt", "on_ended",
     )  # fmt: skip
 
     streams_response = True
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -1,4 +1,4 @@
-"""A connection pool on an event loop of its own, with upstreams that accept, refuse or do not answer."""
+"""A connection pool on its own event loop, with upstreams that accept, refuse or ignore connects."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 )
 from indigokeel.net.upstream.descriptor_audit import sockets
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # the value of SO_LINGER
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
 
 
 class RecordingHandler:
-    """A connection's handler that keeps what it receives, and raises once ``is_faulty`` is set."""
+    """A connection handler that records received data, and raises on data while ``is_faulty`` is set."""
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
@@ -37,7 +37,7 @@
         self.is_faulty = False
 
     def on_data(self, data: bytes) -> None:
-        """Keep received bytes (ConnectionHandler)."""
+        """Record received bytes (ConnectionHandler)."""
         if self.is_faulty:
             raise RuntimeError("a fault in the handler")
         self.received += data
@@ -51,7 +51,10 @@
 
 
 class PoolHarness:
-    """A pool, its leak detector, and three upstreams: ``up``, ``refuses`` and ``silent``."""
+    """A pool, its leak detector, and three upstreams.
+
+    ``up`` accepts connects, ``refuses`` refuses them and ``silent`` does not respond to them.
+    """
 
     def __init__(self, limits: ConnectionLimits | None = None, calls: int = 1, timeout: float = 5.0) -> None:
         self.loop = uvloop.new_event_loop()
@@ -84,7 +87,8 @@
         self.listener.setblocking(False)
         closed = socket.create_server(("127.0.0.1", 0))
         self.silent = socket.create_server(("127.0.0.1", 0), backlog=0)
-        self._fillers = [socket.socket() for _ in range(3)]  # with its queue full it answers no connect
+        # While its backlog is full, ``silent`` does not respond to connects.
+        self._fillers = [socket.socket() for _ in range(3)]
         for filler in self._fillers:
             filler.setblocking(False)
             filler.connect_ex(self.silent.getsockname())
@@ -100,20 +104,20 @@
         self.counts.update([name])
 
     def log(self, level: str, text: str) -> None:
-        """Keep a log line (Telemetry)."""
+        """Record a log line (Telemetry)."""
         self.logged.append((level, text))
 
     def clock(self) -> float:
-        """Return the time that the test has set (Telemetry)."""
+        """Return the time set by the test (Telemetry)."""
         return self.now
 
     def run(self, call: Callable[[], object]) -> object:
-        """Make a call inside the event loop."""
+        """Run a function inside the event loop, and return its result."""
 
-        async def inside() -> object:
+        async def call_in_loop() -> object:
             return call()
 
-        return self.loop.run_until_complete(inside())
+        return self.loop.run_until_complete(call_in_loop())
 
     def step(self, steps: int = 1) -> None:
         """Run some iterations of the event loop."""
@@ -129,7 +133,7 @@
     def acquire(
         self, upstream: str = "up", timeout_s: float = 5.0, unsafe: bool = False, faulty: bool = False
     ) -> UpstreamConnection | ConnectionWaiter:
-        """Acquire a connection; results of waiters go to ``ready``, and a ``faulty`` one then raises."""
+        """Acquire a connection. A waiter adds its result to ``ready``; a ``faulty`` one then raises."""
 
         def on_result(result: UpstreamConnection | ConnectFailure) -> None:
             self.ready.append(result)
@@ -143,7 +147,7 @@
         return found
 
     def connection(self) -> UpstreamConnection:
-        """Return an established connection to ``up``."""
+        """Acquire a connection to ``up``, and return it once it is established."""
         before = len(self.ready)
         found = self.acquire()
         if isinstance(found, UpstreamConnection):
@@ -162,18 +166,18 @@
         raise AssertionError("the condition did not become true")
 
     def open_inodes(self) -> set[int]:
-        """Return the inodes of the open sockets that can only be the pool's."""
+        """Return the inodes of the open sockets that belong to the pool."""
         peers = {sock.fileno() for sock in self.accepted if sock.fileno() >= 0}
         return {
             inode for fd, inode in sockets().items() if self.baseline.get(fd) != inode and fd not in peers
         }
 
     def check_table(self) -> None:
-        """Assert that the table holds exactly the open sockets."""
+        """Assert that the connection table holds exactly the open sockets of the pool."""
         assert {connection.inode for connection in self.pool.table} == self.open_inodes()
 
     def end(self) -> None:
-        """Close everything, and assert that nothing is left open."""
+        """Close the pool and the upstreams, and assert that the pool leaves no socket open."""
         self.run(self.pool.end)
         self.step(2)
         assert not self.open_inodes() and not len(self.pool.table)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool on a real event loop: after any cancel or error the table matches the open sockets."""
+"""The connection pool on a real event loop: its table matches the open sockets after any cancel or error."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Random calls of the pool, resets, drains and faults between single iterations of the event loop."""
+    """Random pool operations, resets, drains and faults between single iterations of the event loop."""
 
     @initialize(calls=st.sampled_from([1, 3]))
     def start(self, calls: int) -> None:
@@ -43,7 +43,7 @@
         self.connections: list[UpstreamConnection] = []
         self.asked = 0
 
-    def _taken(self) -> None:
+    def _collect_connections(self) -> None:
         self.connections += [
             connection for connection in self.harness.ready if isinstance(connection, UpstreamConnection)
         ]
@@ -51,55 +51,55 @@
 
     @rule(
         upstream=st.sampled_from(["up", "up", "up", "refuses", "silent"]),
-        patience=st.sampled_from([0.0, 0.001, 5.0]),
+        timeout_s=st.sampled_from([0.0, 0.001, 5.0]),
         unsafe=st.booleans(),
         faulty=st.sampled_from([False, False, False, True]),
     )
-    def borrow(self, upstream: str, patience: float, unsafe: bool, faulty: bool) -> None:
-        found = self.harness.acquire(upstream, patience, unsafe, faulty)
+    def acquire_connection(self, upstream: str, timeout_s: float, unsafe: bool, faulty: bool) -> None:
+        found = self.harness.acquire(upstream, timeout_s, unsafe, faulty)
         if isinstance(found, UpstreamConnection):
             self.connections.append(found)
         else:
             self.waiters.append(found)
 
-    @rule(which=st.integers(0, 20))
-    def cancel(self, which: int) -> None:
+    @rule(index=st.integers(0, 20))
+    def cancel(self, index: int) -> None:
         if self.waiters:
-            waiter = self.waiters.pop(which % len(self.waiters))
+            waiter = self.waiters.pop(index % len(self.waiters))
             self.harness.run(lambda: self.harness.pool.cancel(waiter))
 
-    @rule(which=st.integers(0, 20), clean=st.booleans())
-    def give_back(self, which: int, clean: bool) -> None:
-        self._taken()
+    @rule(index=st.integers(0, 20), reusable=st.booleans())
+    def release_connection(self, index: int, reusable: bool) -> None:
+        self._collect_connections()
         if self.connections:
-            connection = self.connections.pop(which % len(self.connections))
-            self.harness.run(lambda: self.harness.pool.release(connection, clean))
+            connection = self.connections.pop(index % len(self.connections))
+            self.harness.run(lambda: self.harness.pool.release(connection, reusable))
 
-    @rule(which=st.integers(0, 20))
-    def close(self, which: int) -> None:
-        self._taken()
+    @rule(index=st.integers(0, 20))
+    def close(self, index: int) -> None:
+        self._collect_connections()
         if self.connections:
-            connection = self.connections.pop(which % len(self.connections))
+            connection = self.connections.pop(index % len(self.connections))
             self.connections = [other for other in self.connections if other is not connection]
             self.harness.run(lambda: self.harness.pool.close(connection))
 
     @rule(steps=st.integers(1, 4))
-    def turn(self, steps: int) -> None:
+    def run_event_loop(self, steps: int) -> None:
         self.harness.step(steps)
 
     @rule()
     def accept(self) -> None:
         self.harness.accept()
 
-    @rule(which=st.integers(0, 20), how=st.sampled_from(["reset", "end", "bytes"]))
-    def peer(self, which: int, how: str) -> None:
+    @rule(index=st.integers(0, 20), action=st.sampled_from(["reset", "end", "bytes"]))
+    def act_as_peer(self, index: int, action: str) -> None:
         if self.harness.accepted:
-            sock = self.harness.accepted[which % len(self.harness.accepted)]
-            if how == "bytes":
+            sock = self.harness.accepted[index % len(self.harness.accepted)]
+            if action == "bytes":
                 with contextlib.suppress(OSError):
                     sock.send(b"noise")
                 return
-            if how == "reset":
+            if action == "reset":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.harness.accepted.remove(sock)
             sock.close()
@@ -113,13 +113,13 @@
         self.harness.run(lambda: self.harness.pool.warm(upstream, self.harness.addresses[upstream]))
 
     @rule(seconds=st.sampled_from([0.1, 3.0, 40.0]))
-    def age(self, seconds: float) -> None:
+    def advance_clock(self, seconds: float) -> None:
         self.harness.now += seconds
         self.harness.run(lambda: self.harness.pool.close_expired(self.harness.now))
 
-    @rule(which=st.integers(0, 20))
-    def fault(self, which: int) -> None:
-        for connection in list(self.harness.pool.table)[which % 6 :][:1]:
+    @rule(index=st.integers(0, 20))
+    def make_handler_faulty(self, index: int) -> None:
+        for connection in list(self.harness.pool.table)[index % 6 :][:1]:
             if isinstance(connection.handler, RecordingHandler):
                 connection.handler.is_faulty = True
 
@@ -151,8 +151,13 @@
 
 
 @pytest.mark.parametrize("steps", range(6))
-def test_wait_cancelled_at_any_step_of_a_connect_leaves_nothing(harness: PoolHarness, steps: int) -> None:
-    """With uvloop's create_connection, a connect that is cancelled as it completes stays in the table."""
+def test_wait_cancelled_at_any_step_of_a_connect_leaves_no_connection(
+    harness: PoolHarness, steps: int
+) -> None:
+    """A connect that is cancelled just as it completes must not stay in the connection table.
+
+    That is what happened with uvloop's ``create_connection``.
+    """
     for _ in range(300):
         waiter = harness.acquire()
         assert isinstance(waiter, ConnectionWaiter)
@@ -193,23 +198,23 @@
     assert harness.counts["connects_failed"] == FAILURE_THRESHOLD
     assert harness.counts["connects_not_tried"] >= 1
     assert any("consecutive connects failed" in text for _, text in harness.logged)
-    harness.now += 5.0  # the open time is over, and the upstream is back
+    harness.now += 5.0  # the open time is over, and the upstream accepts connects again
     server = socket.create_server(harness.addresses["refuses"])
     harness.ready.clear()
 
-    def crowd() -> int:
+    def acquire_five() -> int:
         for _ in range(5):
             harness.pool.acquire("refuses", harness.addresses["refuses"], 5.0, harness.ready.append)
         return harness.pool.table.count("refuses", ConnectionState.OPENING)
 
-    assert harness.run(crowd) == 1  # half open: one trial for all
+    assert harness.run(acquire_five) == 1  # half-open: one trial for all waiters
     harness.until(lambda: len(harness.ready) >= 4)
     assert all(isinstance(connection, UpstreamConnection) for connection in harness.ready)
     server.close()
     harness.check_table()
 
 
-def test_silent_upstream_costs_each_attempt_its_timeout_and_then_nothing(harness: PoolHarness) -> None:
+def test_connects_to_a_silent_upstream_time_out_until_its_circuit_opens(harness: PoolHarness) -> None:
     for _ in range(FAILURE_THRESHOLD):
         harness.acquire("silent", 0.002)
         harness.now += 0.01
@@ -223,41 +228,41 @@
 def test_descriptors_exhausted_during_a_connect(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An idle connection is closed for its descriptor. Without one, the wait continues and the error is
-    logged; at its timeout it ends with a local failure."""
+    """An idle connection is closed to free its descriptor. If none is idle, the error is logged and the wait
+    continues until a connect succeeds, or ends with a local failure at its timeout."""
     idle = harness.connection()
     harness.run(lambda: harness.pool.release(idle, True))
-    real, left = socket.socket, [0]
+    real, available = socket.socket, [0]
 
-    def scarce(*args: int, **more: int) -> socket.socket:
-        if left[0] <= 0 and args[:1] == (socket.AF_INET,) and len(args) == 2:
-            left[0] += 1
+    def socket_without_descriptors(*args: int, **more: int) -> socket.socket:
+        if available[0] <= 0 and args[:1] == (socket.AF_INET,) and len(args) == 2:
+            available[0] += 1
             raise OSError(errno.EMFILE, os.strerror(errno.EMFILE))
         return real(*args, **more)
 
-    monkeypatch.setattr("indigokeel.net.upstream.connection.socket.socket", scarce)
+    monkeypatch.setattr("indigokeel.net.upstream.connection.socket.socket", socket_without_descriptors)
     harness.acquire("refuses")
     assert idle.state is ConnectionState.CLOSED and harness.counts["descriptors_exhausted"] == 1
-    left[0] = -9
+    available[0] = -9
     harness.ready.clear()
     harness.acquire("up")
     assert harness.pool.waiting() == 1
     harness.until(lambda: bool(harness.ready))
     assert (
-        isinstance(harness.ready[-1], UpstreamConnection) and left[0] == 1
-    )  # at the eleventh try, and no more after it
+        isinstance(harness.ready[-1], UpstreamConnection) and available[0] == 1
+    )  # at the eleventh try, and none is made after it
     assert ("error" in {level for level, _ in harness.logged}) and harness.pool.waiting() == 0
-    left[0] = -1000
+    available[0] = -1000
     harness.acquire("up", 0.01)
     harness.until(lambda: harness.ready[-1] is ConnectFailure.LOCAL)
     assert harness.pool.waiting() == 0
-    assert harness.counts["connects_failed"] == 1  # the one to the upstream that refuses
+    assert harness.counts["connects_failed"] == 1  # the connect to ``refuses``
     monkeypatch.undo()
     harness.check_table()
 
 
 def test_connection_to_a_former_address_is_not_reused(harness: PoolHarness) -> None:
-    """Its address may belong to another upstream by now."""
+    """The address may belong to another upstream by now."""
     connection = harness.connection()
     harness.run(lambda: harness.pool.release(connection, True))
     server = socket.create_server(("127.0.0.1", 0))
@@ -268,7 +273,7 @@
     server.close()
 
 
-def test_drain_closes_idle_connections_now_and_others_when_free(harness: PoolHarness) -> None:
+def test_drain_closes_idle_connections_at_once_and_others_when_released(harness: PoolHarness) -> None:
     first, second = harness.connection(), harness.connection()
     harness.run(lambda: harness.pool.release(first, True))
     harness.run(lambda: harness.pool.close_to("up"))
@@ -289,7 +294,7 @@
     harness.acquire("other")
     harness.until(lambda: harness.pool.table.count("other", ConnectionState.IN_USE) == 1)
     harness.acquire("up")
-    assert harness.pool.table.count("up", ConnectionState.OPENING) == 0  # at its bound now: it waits
+    assert harness.pool.table.count("up", ConnectionState.OPENING) == 0  # now its limit is reached
     server.close()
     harness.end()
 
@@ -304,7 +309,7 @@
     harness.end()
 
 
-def test_new_upstream_is_warmed_once(harness: PoolHarness) -> None:
+def test_new_upstream_is_preconnected_once(harness: PoolHarness) -> None:
     for _ in range(3):
         harness.run(lambda: harness.pool.warm("up", harness.addresses["up"]))
         harness.step(3)
@@ -313,13 +318,13 @@
     assert isinstance(harness.acquire(), UpstreamConnection)
 
 
-def test_connect_that_completes_while_the_loop_is_late_is_no_failure(harness: PoolHarness) -> None:
-    """A loop that runs late calls its timers before it looks at its sockets."""
+def test_connect_that_completes_while_the_event_loop_is_blocked_succeeds(harness: PoolHarness) -> None:
+    """A delayed event loop runs its timers before it polls its sockets."""
 
-    def late() -> None:
+    def acquire_and_block() -> None:
         harness.pool.acquire("up", harness.addresses["up"], 0.005, harness.ready.append)
         time.sleep(0.03)  # the event loop is blocked
 
-    harness.run(late)
+    harness.run(acquire_and_block)
     harness.until(lambda: bool(harness.ready))
     assert isinstance(harness.ready[0], UpstreamConnection) and not harness.counts["connects_failed"]
--- a/tests/test_descriptor_audit.py
+++ b/tests/test_descriptor_audit.py
@@ -1,4 +1,4 @@
-"""The descriptor audit on real sockets."""
+"""The descriptor audit, with real sockets."""
 
 from __future__ import annotations
 
@@ -27,37 +27,37 @@
 def test_missing_and_leaked_descriptors_are_found_and_repaired(harness: PoolHarness) -> None:
     connection = harness.connection()
     assert isinstance(connection.handler, RecordingHandler)
-    exchange = connection.handler
-    os.close(connection.fd)  # behind its owner's back
-    stray = socket.create_connection(harness.addresses["up"])
+    recording_handler = connection.handler
+    os.close(connection.fd)  # without notice to the connection that owns it
+    leaked = socket.create_connection(harness.addresses["up"])
     harness.accept()
     found = harness.run(harness.audit.look)
     assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
-    assert exchange.closed_calls == 1 and len(harness.pool.table) == 0
-    for _ in range(5):  # as often as one likes: one that the loop has yet to hand over looks the same
+    assert recording_handler.closed_calls == 1 and len(harness.pool.table) == 0
+    for _ in range(5):  # no leak yet: an accepted socket that the loop has not handed over looks the same
         assert harness.run(harness.audit.look) == []
     harness.now += 8.0
     found = harness.run(harness.audit.look)
     assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.LEAKED]
-    assert stray.recv(1) == b""  # shut down: its owner sees its end
+    assert leaked.recv(1) == b""  # shut down, so that an owner sees the end of the stream
     assert [level for level, _ in harness.logged] == ["error", "error"]
     assert (harness.counts["descriptor_audit_missing"], harness.counts["descriptor_audit_leaked"]) == (1, 1)
-    stray.close()
+    leaked.close()
     assert harness.run(harness.audit.look) == []
 
 
-def test_connection_that_the_listing_omits_is_not_missing(
+def test_connection_omitted_from_the_descriptor_list_is_not_missing(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     connections = [harness.connection() for _ in range(3)]
     monkeypatch.setattr(
         "indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path)
-    )  # a listing of nothing
+    )  # an empty list
     assert harness.run(harness.audit.look) == []
     assert [connection.state for connection in connections] == [ConnectionState.IN_USE] * 3 and len(
         harness.pool.table
     ) == 3
-    os.close(connections[1].fd)  # and what is gone is still found
+    os.close(connections[1].fd)  # one that is really missing is still found
     found = harness.run(harness.audit.look)
     assert isinstance(found, list) and [f.kind for f in found] == [MismatchKind.MISSING]
 
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -1,4 +1,4 @@
-"""The upstream client on real sockets: attempts, cancels and late bytes."""
+"""The upstream client on real sockets: cancelled attempts, and late bytes of an upstream."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @pytest.mark.parametrize("steps", range(12))
 def test_attempt_cancelled_at_any_step_of_its_connect_leaves_no_connection(steps: int) -> None:
-    """Cancelled just as its connection is established, an attempt must not leave it in the table."""
+    """An attempt that is cancelled just as its connection is established must not leave it in the table."""
 
-    async def play() -> int:
+    async def cancel_attempts() -> int:
         server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         coordinator = coordinator_of(port)
@@ -51,11 +51,11 @@
         return client.open
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        assert runner.run(play()) == 0
+        assert runner.run(cancel_attempts()) == 0
 
 
 class LateUpstream:
-    """An upstream that responds to its second request with late bytes on the first connection before."""
+    """An upstream that sends late bytes on its first connection before it responds to a second request."""
 
     def __init__(self, late: bytes) -> None:
         self._late = late
@@ -74,7 +74,10 @@
 
 
 async def send_two_attempts(late: bytes) -> tuple[list[UpstreamResponse], Counters, int]:
-    """Send a second attempt with the end of the first. Return the responses and the open connections."""
+    """Send a second attempt as soon as the first has ended.
+
+    Return the responses, the counters and the number of open connections.
+    """
     server = await asyncio.start_server(LateUpstream(late).serve, "127.0.0.1", 0)
     coordinator = coordinator_of(server.sockets[0].getsockname()[1])
     counters = Counters("t")
@@ -103,12 +106,12 @@
 
 
 @pytest.mark.parametrize("stray", [peers.ok(b"first"), b"HTTP/1.1 20", b"\r\n", b""])
-def test_late_second_response_is_not_taken_for_the_next_attempts(
+def test_late_second_response_is_not_taken_for_that_of_the_next_attempt(
     monkeypatch: pytest.MonkeyPatch, stray: bytes
 ) -> None:
-    """The quiet period is longer than the exchanges take on a busy machine."""
+    """The quiet period is set longer than the exchanges take on a busy machine."""
     monkeypatch.setattr("indigokeel.net.upstream.connection_releaser.QUIET_PERIOD_S", 2.0)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        responses, counters, left = runner.run(send_two_attempts(stray))
+        responses, counters, open_connections = runner.run(send_two_attempts(stray))
     assert [response.body for response in responses] == [[b"first"], [b"next"]]
-    assert left == (1 if stray else 2) and counters["connection_faults"] == 0
+    assert open_connections == (1 if stray else 2) and counters["connection_faults"] == 0
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Reads and writes on one upstream connection, and its end."""
+"""Reads and writes on an upstream connection, and its close."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert len(harness.pool.table) == 0
 
 
-def test_reset_before_all_was_written_reports_unsent_data(harness: PoolHarness) -> None:
+def test_reset_before_the_end_of_a_write_reports_unsent_data(harness: PoolHarness) -> None:
     connection = harness.connection()
     harness.accept()
     reported: list[bool] = []
@@ -49,19 +49,19 @@
     harness.accept()
     chunks = [bytes([i % 251]) * 30_000 for i in range(200)]
     assert connection.write(chunks[:150]) and connection.write(chunks[150:])
-    got = bytearray()
+    received_bytes = bytearray()
     peer = harness.accepted[0]
     peer.setblocking(False)
-    while len(got) < 6_000_000:
+    while len(received_bytes) < 6_000_000:
         harness.step()
         with contextlib.suppress(BlockingIOError):
-            got += peer.recv(1 << 20)
-    assert got == b"".join(chunks) and not connection.has_unsent_data()
+            received_bytes += peer.recv(1 << 20)
+    assert received_bytes == b"".join(chunks) and not connection.has_unsent_data()
 
 
 @pytest.mark.parametrize("size", [100, 100_000])
-def test_reset_behind_received_data_is_reported(harness: PoolHarness, size: int) -> None:
-    """uvloop reports the data and the reset behind it as one event."""
+def test_reset_after_received_data_is_reported(harness: PoolHarness, size: int) -> None:
+    """uvloop reports the data and the reset that follows it as one event."""
     connection = harness.connection()
     harness.accept()
     assert isinstance(connection.handler, RecordingHandler)
--- a/tests/unit/net/upstream/test_backoff.py
+++ b/tests/unit/net/upstream/test_backoff.py
@@ -1,4 +1,4 @@
-"""The delays after local failures, and the suspensions of connects."""
+"""The delays after local failures, and the suspension of connects."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from indigokeel.net.upstream.backoff import Backoff, ConnectBackoff
 
 
-def test_delays_double_with_jitter_up_to_a_limit_and_start_over_after_a_reset() -> None:
+def test_delays_double_with_jitter_up_to_a_limit_until_a_reset() -> None:
     backoff = Backoff(Random(1))
     for ceiling_s in (0.002, 0.004, 0.008, 0.016, 0.016, 0.016):
         assert ceiling_s / 2.0 <= backoff.next_delay_s() <= ceiling_s
@@ -17,16 +17,16 @@
     assert 0.001 <= backoff.next_delay_s() <= 0.002
 
 
-@pytest.mark.parametrize(("scope", "others"), [("s-0", False), (None, True)])
-def test_suspension_covers_its_upstream_or_all(scope: str | None, others: bool) -> None:
+@pytest.mark.parametrize(("scope", "others_suspended"), [("s-0", False), (None, True)])
+def test_suspension_applies_to_its_upstream_or_to_all(scope: str | None, others_suspended: bool) -> None:
     backoff = ConnectBackoff(Random(1))
     delay_s = backoff.suspend(100.0, scope)
-    assert (backoff.is_active("s-0"), backoff.is_active("s-1")) == (True, others)
+    assert (backoff.is_active("s-0"), backoff.is_active("s-1")) == (True, others_suspended)
     backoff.resume(100.0 + delay_s, scope)
     assert not backoff.is_active("s-0") and not backoff.is_active("s-1")
 
 
-def test_past_suspension_is_known_until_it_is_dropped() -> None:
+def test_ended_suspension_is_remembered_until_it_is_dropped() -> None:
     backoff = ConnectBackoff(Random(1))
     delay_s = backoff.suspend(100.0, "s-0")
     backoff.resume(100.0 + delay_s, "s-0")
--- a/tests/unit/net/upstream/test_circuit_breaker.py
+++ b/tests/unit/net/upstream/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The open times of a circuit breaker and its trials."""
+"""The open times of a circuit breaker, and the trial connects while it is half-open."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         now = breaker.open_until
         assert breaker.allows(now)
         breaker.on_connect_started()
-        assert not breaker.allows(now + 9.0)  # its trial is in progress
+        assert not breaker.allows(now + 9.0)  # a trial is already in progress
         breaker.on_connect_failed(now)
     assert max(waits) <= 2.0 and max(waits[:2]) <= 0.4 and len(set(waits)) == len(waits)
     breaker.on_connected()
--- a/tests/unit/net/upstream/test_connection_table.py
+++ b/tests/unit/net/upstream/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The states of connections and their transitions."""
+"""The transitions between the states of connections."""
 
 from __future__ import annotations
 
--- a/tests/unit/net/upstream/test_response_parser.py
+++ b/tests/unit/net/upstream/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of responses in parts, and their end."""
+"""Parsing of responses that arrive in parts, and the detection of their end."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 100, 5000])
-def test_chunked_response_in_parts_of_any_size_leaves_its_connection_reusable(size: int) -> None:
+def test_chunked_response_in_parts_of_any_size_leaves_the_connection_reusable(size: int) -> None:
     raw = b"HTTP/1.1 200 OK \r\nServer-Load:  util=0.5 \r\nTransfer-Encoding: \t chunked \r\n\r\n"
     raw += b"".join(http.chunk([BODY], False)) + b"0\r\n\r\n"
     parser = ResponseParser()
-    for at in range(0, len(raw), size):
-        parser.feed(raw[at : at + size])
+    for start in range(0, len(raw), size):
+        parser.feed(raw[start : start + size])
     assert parser.complete and parser.is_reusable
-    reply = parser.response()
-    assert b"".join(reply.body or []) == BODY and reply.load == LoadReport(utilisation=0.5)
+    parsed = parser.response()
+    assert b"".join(parsed.body or []) == BODY and parsed.load == LoadReport(utilisation=0.5)
 
 
-def test_response_without_a_length_has_to_announce_the_close() -> None:
+def test_response_without_a_length_must_announce_the_close() -> None:
     parser = ResponseParser()
     with pytest.raises(InvalidResponseError):
         parser.feed(b"HTTP/1.1 200 OK\r\nServer-Load: util=1\r\n\r\nbody")
--- a/tests/unit/net/upstream/test_waiter_queue.py
+++ b/tests/unit/net/upstream/test_waiter_queue.py
@@ -1,4 +1,4 @@
-"""The order of the waiters for connections."""
+"""The order of waiters for connections, and the upstreams in the queue."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     return ConnectionWaiter(upstream, ADDRESS, 0.0, lambda result: None)
 
 
-def test_waiters_of_an_upstream_are_served_in_order() -> None:
+def test_waiters_for_an_upstream_are_kept_in_order() -> None:
     queue = WaiterQueue()
     first, second = make_waiter("s-0"), make_waiter("s-0")
     queue.append(first)
