--- a/indigokeel/net/upstream/circuit_breaker.py
+++ b/indigokeel/net/upstream/circuit_breaker.py
@@ -13,7 +13,7 @@
 FAILURE_THRESHOLD = 4  # consecutive failed connects that open the circuit
 _INITIAL_OPEN_S = 0.2  # the open time is uniform between 0 and this, which doubles after each failed trial
 _MAX_OPEN_S = 2.0
-_RETENTION_S = 30.0  # from the end of the open time until a breaker is dropped
+_RETENTION_S = 30.0  # from the end of the open time until an unused breaker is dropped
 
 
 class CircuitBreaker:
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -112,7 +112,7 @@
         for upstream in upstreams:
             address = self._coordinator.address(upstream)
             if address is not None:
-                self.connections.warm(upstream, address)
+                self.connections.preconnect(upstream, address)
 
     def close_expired(self, now: float) -> None:
         """Close the connections that have been idle for too long."""
--- a/indigokeel/net/upstream/connection.py
+++ b/indigokeel/net/upstream/connection.py
@@ -250,9 +250,8 @@
         try:
             error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if not error_number:
-                self._reader.start(
-                    sock
-                )  # before the writer is removed, so that the descriptor stays registered
+                # Started before the writer is removed, so that the descriptor stays registered.
+                self._reader.start(sock)
         except OSError as error:
             error_number = error.errno or _UNKNOWN_ERRNO
             step = Step.PREPARE
--- a/indigokeel/net/upstream/connection_pool.py
+++ b/indigokeel/net/upstream/connection_pool.py
@@ -122,7 +122,7 @@
         for connection in self.table.connections(upstream, ConnectionState.IN_USE):
             self.table.move(connection, ConnectionState.DRAINING)
 
-    def warm(self, upstream: str, address: Address) -> None:
+    def preconnect(self, upstream: str, address: Address) -> None:
         """Open a connection ahead of the first attempt, if the upstream has none and the limits allow it."""
         states = (ConnectionState.IDLE, ConnectionState.OPENING, ConnectionState.IN_USE)
         if any(self.table.count(upstream, state) for state in states):
--- a/indigokeel/net/upstream/dispatcher.py
+++ b/indigokeel/net/upstream/dispatcher.py
@@ -66,7 +66,7 @@
             connection.idle_since = self._telemetry.clock()
             self._table.move(connection, ConnectionState.IDLE)
             if self._queue:
-                self.connect_for_all_waiters()  # may close it for waiters for another upstream
+                self.connect_for_all_waiters()  # may close it for waiters of other upstreams
             return
         if connection.state is not ConnectionState.IN_USE:
             self._table.move(connection, ConnectionState.IN_USE)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -109,8 +109,8 @@
         self.harness.run(lambda: self.harness.pool.close_to(upstream))
 
     @rule(upstream=st.sampled_from(["up", "refuses", "silent"]))
-    def warm(self, upstream: str) -> None:
-        self.harness.run(lambda: self.harness.pool.warm(upstream, self.harness.addresses[upstream]))
+    def preconnect(self, upstream: str) -> None:
+        self.harness.run(lambda: self.harness.pool.preconnect(upstream, self.harness.addresses[upstream]))
 
     @rule(seconds=st.sampled_from([0.1, 3.0, 40.0]))
     def advance_clock(self, seconds: float) -> None:
@@ -311,7 +311,7 @@
 
 def test_new_upstream_is_preconnected_once(harness: PoolHarness) -> None:
     for _ in range(3):
-        harness.run(lambda: harness.pool.warm("up", harness.addresses["up"]))
+        harness.run(lambda: harness.pool.preconnect("up", harness.addresses["up"]))
         harness.step(3)
     assert harness.counts["connections_warmed"] == 1
     harness.until(lambda: harness.pool.table.count("up", ConnectionState.IDLE) == 1)
