--- a/indigokeel/balancing/__init__.py
+++ b/indigokeel/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer: it does no input or output and knows only the events it is handed."""
+"""The balancer: turns events into actions, performs no I/O and reads no clock."""
--- a/indigokeel/balancing/action_sink.py
+++ b/indigokeel/balancing/action_sink.py
@@ -1,4 +1,4 @@
-"""The list that the parts of the balancer add their actions to."""
+"""Collects the actions of the balancer's components."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ActionSink:
-    """Collects, in order, the actions decided on while one event is handled."""
+    """Collects, in order, the actions that result from one event."""
 
     __slots__ = ("actions",)
 
@@ -14,7 +14,7 @@
         self.actions: list[Action] = []
 
     def reset(self) -> None:
-        """Start a new list; the previous one stays with whoever holds it."""
+        """Start a new list; the previous one, which the caller may still hold, is not changed."""
         self.actions = []
 
     def add(self, action: Action) -> None:
--- a/indigokeel/balancing/actions.py
+++ b/indigokeel/balancing/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the balancer orders, as values. The caller carries them out in order."""
+"""Actions that the balancer returns; the caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Launch an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of these actions."""
+    """Send an attempt to an upstream.
+
+    The attempts of a request are numbered 0, 1, 2, ... in the order of these actions.
+    """
 
     id: str
     upstream: str
-    timeout: float = 0.0  # 0: until the client gives up
+    timeout: float = 0.0  # in seconds; 0: no limit but the deadline of the request
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: refused; trying again is harmless."""
+    """Give the final answer (rejected): the client may safely repeat the request."""
 
     id: str
     retry_after_s: float = 0.0
@@ -25,14 +28,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed; nothing is promised about the effect."""
+    """Give the final answer (failed): the request may or may not have been executed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel one attempt."""
+    """Cancel an open attempt."""
 
     id: str
     attempt: int
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after ``delay`` seconds."""
+    """Deliver a TimerFired event with this token after ``delay`` seconds."""
 
     delay: float
     token: int
@@ -48,31 +51,31 @@
 
 @dataclass(slots=True)
 class SendHealthCheck:
-    """Ask an upstream for its load."""
+    """Request a load report from an upstream."""
 
     upstream: str
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close this instance's idle connections to an upstream."""
+    """Close the idle connections of this sidecar to an upstream."""
 
     upstream: str
 
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on."""
+    """Watch the endpoint list for changes."""
 
 
 @dataclass(slots=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list, once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the operators."""
+    """Write a log line for operators."""
 
     text: str
 
--- a/indigokeel/balancing/attempt_dispatcher.py
+++ b/indigokeel/balancing/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""What happens next to a request: an attempt, a wait for an upstream, or its final answer."""
+"""Decides the next step of a request: an attempt, a wait for an upstream, or its final answer."""
 
 from __future__ import annotations
 
@@ -33,32 +33,32 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on."""
-        self._hedges = settings.limits.hedging
+        """Apply new settings."""
+        self._hedging_enabled = settings.limits.hedging
 
     def dispatch(self, now: float, request: RequestState) -> None:
-        """Send a request without open attempts; where that is impossible, have it wait or answer it."""
+        """Send an attempt of a request that has none open, or else make the request wait or answer it."""
         if not retry_policy.may_repeat(now, request):
             self._requests.answer_unserved(request)
             return
         upstream = self._selector.select(now, request)
         if upstream is not None:
             self._requests.stop_waiting(request)
-            self._sender.send(now, request, upstream, self._hedge)
+            self._sender.send(now, request, upstream, self._handle_overdue)
         elif self._can_wait(now, request):
             self._requests.wait(now, request)
         else:
             self._requests.answer_unserved(request)
 
     def dispatch_waiting(self, now: float) -> None:
-        """Dispatch the requests that wait for an upstream."""
+        """Dispatch the requests that are waiting for an upstream."""
         for request in self._requests.waiting():
             self.dispatch(now, request)
 
     def retry(self, now: float, request: RequestState, outcome: AttemptOutcome) -> None:
-        """Retry a request whose last open attempt failed, if budget and rules allow it, or answer it.
+        """Retry a request whose last open attempt failed, or answer it if budget or rules forbid a retry.
 
-        An attempt that did not reach its upstream costs nothing: the endpoint list may be out of date.
+        A retry is free if the failed attempt did not reach its upstream: the endpoint list may be outdated.
         """
         not_reached = outcome in (AttemptOutcome.NO_CONNECTION, AttemptOutcome.NOT_SENT)
         price = 0.0 if not_reached else RETRY_PRICE
@@ -73,25 +73,25 @@
         self.dispatch(now, request)
 
     def _can_wait(self, now: float, request: RequestState) -> bool:
-        """Return whether a change of the endpoint list may bring an upstream in time.
+        """Return whether an endpoint list update may provide an upstream in time.
 
-        A new request that all serving upstreams are too busy for is answered at once.
+        A new request is answered at once if there are serving upstreams, but all are too busy for it.
         """
         if request.deadline - now < RULE_MARGIN_S:
             return False
         return bool(request.attempts) or not self._registry.serving_count()
 
-    def _hedge(self, now: float, request: RequestState, attempt: AttemptState) -> None:
-        """Mark an open attempt as overdue, and send a hedged one where that is allowed."""
+    def _handle_overdue(self, now: float, request: RequestState, attempt: AttemptState) -> None:
+        """Mark an open attempt as overdue, and send a hedged request if that is allowed."""
         if not attempt.open or request.response_started:
             return
         attempt.overdue = True
         attempt.upstream.add_overdue_attempts(1)
-        if request.done or not self._hedges or not self._budget.can_hedge():
+        if request.done or not self._hedging_enabled or not self._budget.can_hedge():
             return
         if not retry_policy.is_worth_trying(now, request):
             return
         upstream = self._selector.select(now, request)
         if upstream is not None and all(a.upstream is not upstream for a in request.attempts):
             self._budget.spend_hedge()
-            self._sender.send(now, request, upstream, self._hedge).hedged = True
+            self._sender.send(now, request, upstream, self._handle_overdue).hedged = True
--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the balancer learns from the outcome of an attempt."""
+"""Records the outcomes of attempts in the statistics that decisions are based on."""
 
 from __future__ import annotations
 
@@ -8,8 +8,10 @@
 from indigokeel.balancing.retry_policy import RetryBudget
 from indigokeel.balancing.traffic_statistics import TrafficStatistics
 
-FAILURE_LATENCY_RATIO = 3.0  # of the expected latency, that a failure counts as
-HANG_LATENCY_RATIO = 5.0  # of the expected latency; a longer timeout counts as two failures
+FAILURE_LATENCY_RATIO = 3.0  # a failure is recorded as this multiple of the expected latency
+HANG_LATENCY_RATIO = (
+    5.0  # a timeout after more than this multiple of the expected latency counts as two failures
+)
 
 
 class AttemptResults:
@@ -26,9 +28,9 @@
         if outcome is AttemptOutcome.OK:
             self._record_success(now, request, attempt, event)
         elif attempt.missed_objective and outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMED_OUT):
-            return  # recorded as late already
+            return  # already recorded as late when it missed the objective
         elif outcome is AttemptOutcome.CANCELLED:
-            # Its latency would have been at least this.
+            # The time until the cancellation is a lower bound of its latency.
             _record_long_latency(now, attempt, event.elapsed)
         elif outcome is AttemptOutcome.TIMED_OUT:
             self._record_timeout(now, attempt, event.elapsed)
@@ -36,9 +38,9 @@
             self._record_failure(now, attempt, outcome)
 
     def record_missed_objective(self, now: float, attempt: AttemptState) -> None:
-        """Record that an attempt has missed the latency objective but is left to end.
+        """Record that an attempt missed the latency objective but is not cancelled.
 
-        It counts as one that timed out, so that an overload or a hang shows as early as with other classes.
+        It counts as timed out, so that an overload or a hang is detected as early as in other classes.
         """
         attempt.missed_objective = True
         self._budget.spend_late_answer()
@@ -62,10 +64,10 @@
         self._traffic.record_late(now)
         self._ejection.record_common_failures()
         if elapsed_s < attempt.expected_s:
-            return  # the client's budget was too short to show anything
+            return  # the client's budget was too short for the timeout to say anything about the upstream
         upstream.record_latency(now, elapsed_s / attempt.expected_s)
-        # One that has served others since was overloaded, not hanging; ejecting it would turn its work on
-        # the others.
+        # An upstream that has served another attempt since this one was sent is overloaded rather than
+        # hanging; ejecting it would shift its load to the other upstreams.
         if upstream.last_success_at < attempt.sent_at:
             weight = 2 if elapsed_s > HANG_LATENCY_RATIO * attempt.expected_s else 1
             self._ejection.record_failure(now, upstream, weight, silent=True)
--- a/indigokeel/balancing/attempt_sender.py
+++ b/indigokeel/balancing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts, and watches for overdue ones."""
+"""Sends attempts and sets the timers for those that take too long."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptSender:
-    """Orders attempts and watches for overdue ones."""
+    """Sends attempts and detects those that are overdue or miss the latency objective."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
     def send(
         self, now: float, request: RequestState, upstream: UpstreamState, on_overdue: OverdueCallback
     ) -> AttemptState:
-        """Send an attempt; ``on_overdue`` is called, possibly after its end, when it takes too long."""
+        """Send an attempt, and have ``on_overdue`` called once it would be overdue, even if it has ended."""
         expected_s = request.class_statistics.expected_latency_s(request.hint_s)
         attempt = AttemptState(upstream, now, expected_s)
         request.attempts.append(attempt)
--- a/indigokeel/balancing/balancer.py
+++ b/indigokeel/balancing/balancer.py
@@ -1,7 +1,7 @@
-"""The decisions of one sidecar: events in, actions out.
+"""The balancer of one sidecar: takes events and returns actions.
 
-A balancer knows only the events it is handed. It reads no clock, has a random generator of its own, and does
-no input or output. How it chooses is described in docs/design.md; this module connects the parts and
+It reads no clock, performs no input or output, and draws from a random generator of its own; all it knows
+comes from events. docs/design.md describes how it selects upstreams. This module connects the components and
 dispatches events to them.
 """
 
@@ -57,10 +57,10 @@
 
 
 class Balancer:
-    """All decisions of one sidecar."""
+    """Decides which actions one sidecar takes in response to events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Raise ValueError, naming the field, if a setting is out of range."""
+        """Raise ValueError, naming the key of the settings, if a setting is out of range."""
         validate_settings(settings)
         random = Random(seed)
         self._settings = settings
@@ -110,18 +110,19 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide on one event at clock time ``now``, and return the actions to carry out in order.
+        """Handle one event at clock time ``now``, and return the actions to carry out, in order.
 
-        Raises ValueError on a request of an unknown class.
+        Raises ValueError for a request of an unknown class.
         """
         self._sink.reset()
         self._handlers[type(event)](now, event)
         return self._sink.actions
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on, or raise ValueError and keep the old ones.
+        """Apply new settings, or raise ValueError and keep the previous ones.
 
-        Open requests keep the settings of their class; classes and tenants that stay keep their statistics.
+        Open requests keep the settings of their class. The statistics of classes and tenants that remain
+        configured are kept.
         """
         validate_settings(settings)
         self._settings = settings
@@ -140,7 +141,7 @@
         self._dispatcher.apply_settings(settings)
 
     def learned_figures(self) -> LearnedFigures:
-        """Return the live figures that the next process of this sidecar can continue from."""
+        """Return the learned figures, not copied, for hand-over to the next process of this sidecar."""
         return LearnedFigures(
             self._mix.statistics,
             self._registry.upstreams,
@@ -154,15 +155,15 @@
         return self._early_admission.is_overloaded()
 
     def shed_early(self, now: float, class_name: str, budget: float) -> float | None:
-        """Return None to admit a request, or else the wait in seconds that its client is advised.
+        """Return None to admit a request, or the retry delay in seconds to advise if it is rejected.
 
-        To be asked before any work is done for the request; ``budget`` is the time left for it in seconds.
+        Call this before any work is done for the request. ``budget`` is its remaining time in seconds.
         """
         return self._early_admission.rejection_delay_s(now, class_name, budget)
 
     def _on_membership_update(self, now: float, event: MembershipUpdate) -> None:
         if event.kind is UpdateKind.FAILED:
-            # The known upstreams stay: a failed call says nothing of them.
+            # A failed discovery call says nothing about the known upstreams, so they are kept.
             self._refresh.schedule_retry()
             return
         self._registry.apply_update(now, event)
@@ -234,7 +235,7 @@
 
 
 def _close_attempt(attempt: AttemptState, outcome: AttemptOutcome) -> None:
-    """Mark an attempt as ended, on the attempt and on its upstream."""
+    """Mark an attempt as ended, and update the counts of open attempts of its upstream."""
     attempt.open = False
     attempt.begun = outcome is not AttemptOutcome.NOT_SENT
     attempt.may_have_run = not outcome.never_ran
--- a/indigokeel/balancing/events.py
+++ b/indigokeel/balancing/events.py
@@ -1,7 +1,8 @@
-"""The events that the balancer is handed, as values.
+"""Events that the balancer handles.
 
-All times are seconds; the clock is monotonic and has an arbitrary origin. Nobody changes an event after it
-was handed over; events are not frozen, because creating a frozen dataclass takes three times as long.
+All times are in seconds; the clock is monotonic and has an arbitrary origin. An event must not be modified
+after it was passed to the balancer. Events are not frozen all the same, because creating a frozen dataclass
+takes three times as long.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class EndpointState(FastHashEnum):
-    """What discovery says of an upstream."""
+    """The state of an upstream according to discovery."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -21,7 +22,7 @@
 
 
 class UpdateKind(FastHashEnum):
-    """The kinds of message that discovery sends."""
+    """The kinds of membership updates."""
 
     DELTA = "delta"
     FULL = "full"
@@ -30,16 +31,16 @@
 
 
 class AttemptOutcome(FastHashEnum):
-    """How an attempt ended. ``never_ran`` is True where it is proved that the attempt had no effect."""
+    """How an attempt ended. ``never_ran`` is True if the upstream certainly did not execute the request."""
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "refused"  # the upstream states that it did not start: it is full or draining
+    REJECTED = "refused"  # the upstream reports that it did not start the request: it is full or draining
     TIMED_OUT = "timeout"
-    NO_CONNECTION = "no_connection"  # not all of the request was written
+    NO_CONNECTION = "no_connection"  # the request was not written in full
     BROKEN = "broken"
     CANCELLED = "cancelled"
-    NOT_SENT = "never_sent"  # the request was over, or the upstream took nothing new
+    NOT_SENT = "never_sent"  # the request had ended, or the upstream accepted no new attempts
 
     def __init__(self, value: str) -> None:
         self.never_ran = value in ("refused", "no_connection", "never_sent")
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """An upstream as discovery lists it."""
+    """An upstream as listed by discovery."""
 
     id: str
     zone: str = ""
@@ -55,15 +56,15 @@
     replica_group: int = -1
     state: EndpointState = EndpointState.SERVING
     scale: float = 1.0
-    started: float = 0.0  # clock time of its last start; 0: long ago
+    started: float = 0.0  # clock time at which it last started; 0: long ago
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """A load report; None where the upstream does not report the figure."""
+    """A load report; a figure that the upstream does not report is None."""
 
-    rate: float | None = None  # requests served a second
-    utilisation: float | None = None  # busy share of its cores
+    rate: float | None = None  # requests served per second
+    utilisation: float | None = None  # fraction of its cores that is busy
     in_flight: float | None = None
     queued: float | None = None
     latency: float | None = None
@@ -72,7 +73,7 @@
 
 @dataclass(slots=True)
 class MembershipUpdate:
-    """A message of discovery: a change, a whole list, or a failed call."""
+    """A message from discovery: changed members, the complete list, or a failed call."""
 
     kind: UpdateKind
     members: tuple[Member, ...] = ()
@@ -81,19 +82,19 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request, to be given exactly one final answer within ``budget`` seconds."""
+    """A client's request, which must receive exactly one final answer within ``budget`` seconds."""
 
     id: str
     class_name: str
     budget: float
     tenant: str = ""
     key: str = ""
-    hint: float = 0.0  # rough estimate of its work in seconds of a standard core; 0: none
+    hint: float = 0.0  # rough work estimate, in seconds on a standard core; 0: none
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer has started: its deadline no longer runs."""
+    """A streamed response has started, so its deadline no longer applies."""
 
     id: str
     upstream: str
@@ -102,7 +103,10 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The one outcome of one attempt. ``final``: the request is over, by this outcome or before."""
+    """The outcome of an attempt, reported exactly once.
+
+    ``final``: the request has ended, with this outcome or earlier.
+    """
 
     id: str
     upstream: str
@@ -115,14 +119,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client disconnected: the request is over and needs no answer."""
+    """The client disconnected: the request has ended and needs no final answer."""
 
     id: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that this balancer ordered fired."""
+    """A timer that this balancer set has fired."""
 
     token: int
 
@@ -142,7 +146,7 @@
 
 @dataclass(slots=True)
 class LagSampled:
-    """The lag of the sidecar's event loop in seconds, sampled every ``LAG_SAMPLE_INTERVAL_S``."""
+    """A sample of the event loop's lag in seconds, taken every ``LAG_SAMPLE_INTERVAL_S``."""
 
     seconds: float
 
