--- a/indigokeel/balancing/attempt_dispatcher.py
+++ b/indigokeel/balancing/attempt_dispatcher.py
@@ -7,7 +7,7 @@
 from indigokeel.balancing.events import AttemptOutcome
 from indigokeel.balancing.open_requests import OpenRequests
 from indigokeel.balancing.request_state import AttemptState, RequestState
-from indigokeel.balancing.retry_policy import RETRY_PRICE, RULE_MARGIN_S, RetryBudget
+from indigokeel.balancing.retry_policy import RETRY_PRICE, TIME_LIMIT_MARGIN_S, RetryBudget
 from indigokeel.balancing.settings import Settings
 from indigokeel.balancing.upstream_registry import UpstreamRegistry
 from indigokeel.balancing.upstream_selection import UpstreamSelector
@@ -77,7 +77,7 @@
 
         A new request is answered at once if there are serving upstreams, but all are too busy for it.
         """
-        if request.deadline - now < RULE_MARGIN_S:
+        if request.deadline - now < TIME_LIMIT_MARGIN_S:
             return False
         return bool(request.attempts) or not self._registry.serving_count()
 
--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -43,7 +43,7 @@
         It counts as timed out, so that an overload or a hang is detected as early as in other classes.
         """
         attempt.missed_objective = True
-        self._budget.spend_late_answer()
+        self._budget.spend_late_response()
         self._record_timeout(now, attempt, now - attempt.sent_at)
 
     def _record_success(
--- a/indigokeel/balancing/attempt_timeouts.py
+++ b/indigokeel/balancing/attempt_timeouts.py
@@ -12,7 +12,7 @@
 
 from indigokeel.balancing import retry_policy
 from indigokeel.balancing.request_state import RequestState
-from indigokeel.balancing.retry_policy import RETRY_PRICE, RULE_MARGIN_S, RetryBudget
+from indigokeel.balancing.retry_policy import RETRY_PRICE, TIME_LIMIT_MARGIN_S, RetryBudget
 from indigokeel.balancing.settings import Idempotency, Settings
 
 MIN_RETRY_TIMEOUT_S = 0.05  # covers a connect, an event loop iteration and a header in whole milliseconds
@@ -46,7 +46,7 @@
         timeout_s, objective_s = 0.0, math.inf
         if request.latest_useful_at < request.deadline:
             if self._times_out_at_objective(request):
-                timeout_s = max(useful_s, RULE_MARGIN_S)
+                timeout_s = max(useful_s, TIME_LIMIT_MARGIN_S)
             else:
                 objective_s = useful_s
         overdue_s = retry_policy.overdue_after_s(now, request, expected_s)
@@ -67,7 +67,7 @@
         are timely.
         """
         is_unsafe = request.class_settings.idempotency is Idempotency.UNSAFE
-        return not is_unsafe or not self._budget.can_answer_late()
+        return not is_unsafe or not self._budget.can_wait_for_late_response()
 
     def _may_retry(self, at: float, request: RequestState) -> bool:
         """Return whether an attempt that times out at clock time ``at`` may be followed by another one."""
--- a/indigokeel/balancing/balancer.py
+++ b/indigokeel/balancing/balancer.py
@@ -237,7 +237,7 @@
 def _close_attempt(attempt: AttemptState, outcome: AttemptOutcome) -> None:
     """Mark an attempt as ended, and update the counts of open attempts of its upstream."""
     attempt.open = False
-    attempt.begun = outcome is not AttemptOutcome.NOT_SENT
+    attempt.was_sent = outcome is not AttemptOutcome.NOT_SENT
     attempt.may_have_run = not outcome.never_ran
     attempt.upstream.add_open_attempts(-1)
     if attempt.overdue:
--- a/indigokeel/balancing/request_state.py
+++ b/indigokeel/balancing/request_state.py
@@ -7,28 +7,28 @@
 from indigokeel.balancing.settings import ClassSettings
 from indigokeel.balancing.upstream_state import UpstreamState
 
-MAX_ATTEMPTS_NOT_BEGUN = 5  # allowed beyond the limit on attempts, as each may wait for a connection
+MAX_ATTEMPTS_NOT_SENT = 5  # beyond the limit on attempts; bounded, as each may wait for a connection
 
 
 class AttemptState:
-    """One attempt that has been sent."""
+    """One attempt of a request."""
 
     __slots__ = (
-        "begun", "cancelled", "expected_s", "hedged", "may_have_run", "missed_objective", "open", "overdue",
-        "sent_at", "upstream",
+        "was_sent", "cancelled", "expected_s", "hedged", "may_have_run", "missed_objective", "open",
+        "overdue", "sent_at", "upstream",
     )  # fmt: skip
 
     def __init__(self, upstream: UpstreamState, sent_at: float, expected_s: float) -> None:
         self.upstream = upstream
         self.sent_at = sent_at
-        self.expected_s = expected_s  # usual latency of such a request
+        self.expected_s = expected_s  # expected latency of the request
         self.open = True
         self.overdue = False
-        self.missed_objective = False  # and is left to end
+        self.missed_objective = False  # it is recorded as late, but not cancelled
         self.cancelled = False
-        self.hedged = False  # sent while another attempt was open
-        # Assumed until the outcome proves otherwise.
-        self.begun = True
+        self.hedged = False  # sent while another attempt of the request was open
+        # Both are assumed until the outcome proves the opposite.
+        self.was_sent = True
         self.may_have_run = True
 
 
@@ -49,14 +49,14 @@
         key: int,
         now: float,
     ) -> None:
-        """``key`` is the hash of the key to be routed by, 0 for none."""
+        """``key`` is the hash of the routing key, or 0 if there is none."""
         self.id = event.id
         self.hint_s = event.hint
         self.class_settings = class_settings
         self.class_statistics = class_statistics
         self.max_attempts = max_attempts
         self.key = key
-        self.response_started = False  # of a streamed answer
+        self.response_started = False  # set only for streamed responses
         self.deadline = now + event.budget
         objective = class_settings.latency_objective + class_settings.objective_stretch * event.hint
         self.objective_at = now + min(objective, event.budget)
@@ -68,18 +68,21 @@
     def has_attempts_left(self) -> bool:
         """Return whether the limit allows another attempt.
 
-        Attempts that never began do not count towards it, within a bound.
+        Attempts that were not sent do not count towards it, up to a bound.
         """
-        begun = sum(attempt.begun for attempt in self.attempts)
-        bound = self.max_attempts + MAX_ATTEMPTS_NOT_BEGUN
-        return begun < self.max_attempts and len(self.attempts) < bound
+        sent = sum(attempt.was_sent for attempt in self.attempts)
+        bound = self.max_attempts + MAX_ATTEMPTS_NOT_SENT
+        return sent < self.max_attempts and len(self.attempts) < bound
 
     def open_attempts(self) -> int:
         """Return the number of attempts that have not ended."""
         return sum(attempt.open for attempt in self.attempts)
 
     def first_possible_execution(self) -> AttemptState | None:
-        """Return the first attempt that may have run; a keyed repeat is bound to its group and its time."""
+        """Return the first attempt that may have run, or None.
+
+        A repeat of a keyed request must stay in that attempt's deduplication scope and idempotency window.
+        """
         for attempt in self.attempts:
             if attempt.may_have_run:
                 return attempt
--- a/indigokeel/balancing/retry_policy.py
+++ b/indigokeel/balancing/retry_policy.py
@@ -1,4 +1,4 @@
-"""Rules and budgets of retries, hedged attempts and late answers."""
+"""Rules and budgets of retries, hedged requests and late responses."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 from indigokeel.balancing.request_state import RequestState
 from indigokeel.balancing.settings import DeduplicationScope, Idempotency
 
-RULE_MARGIN_S = 0.05  # kept clear of every time limit that a rule states
-RETRIES_PER_TIMELY_ANSWER = 0.2
-HEDGES_PER_TIMELY_ANSWER = 0.03
-RETRY_PRICE = 1.0  # tokens
-LATE_ANSWERS_PER_TIMELY_ANSWER = 0.01
-MAX_TOKENS = 3.0  # of any kind, saved for a burst
-INITIAL_LATE_TOKENS = 1.0
-INITIAL_HEDGE_TOKENS = 0.5  # less than one: hedging has to be earned after a start
-OVERDUE_LATENCY_RATIO = 3.0  # of the expected latency, after which an attempt is overdue
-MIN_OVERDUE_LATENCY_RATIO = 1.5
-RETRY_LATENCY_RATIO = 1.2  # of the expected latency, reserved for another attempt
-MIN_RETRY_LATENCY_RATIO = 0.5  # of the expected latency; with less time left a retry is pointless
+TIME_LIMIT_MARGIN_S = 0.05  # safety margin before a deadline or the end of an idempotency window
+RETRIES_PER_TIMELY_RESPONSE = 0.2
+HEDGES_PER_TIMELY_RESPONSE = 0.03
+RETRY_PRICE = 1.0  # in tokens
+LATE_RESPONSES_PER_TIMELY_RESPONSE = 0.01
+MAX_TOKENS = 3.0  # limit of each kind of token, and so of a burst
+INITIAL_LATE_RESPONSE_TOKENS = 1.0
+INITIAL_HEDGE_TOKENS = 0.5  # less than one: after a start, hedging first has to be earned
+OVERDUE_LATENCY_RATIO = 3.0  # an attempt is overdue after this multiple of the expected latency
+MIN_OVERDUE_LATENCY_RATIO = 1.5  # but never before this multiple
+RETRY_LATENCY_RATIO = 1.2  # multiple of the expected latency that is reserved for another attempt
+MIN_RETRY_LATENCY_RATIO = (
+    0.5  # a retry is pointless with less time left than this multiple of the expected latency
+)
 
 
 def may_repeat(at: float, request: RequestState) -> bool:
@@ -27,11 +29,11 @@
     if executed is None or idempotency is Idempotency.SAFE:
         return True
     window_end = executed.sent_at + request.class_settings.idempotency_window
-    return at < window_end - RULE_MARGIN_S and idempotency is not Idempotency.UNSAFE
+    return at < window_end - TIME_LIMIT_MARGIN_S and idempotency is not Idempotency.UNSAFE
 
 
 def deduplicates(request: RequestState, member: Member) -> bool:
-    """Return whether an upstream detects a repeat of what an earlier attempt may have executed."""
+    """Return whether an upstream detects a repeat of a request that an earlier attempt may have executed."""
     executed = request.first_possible_execution()
     scope = request.class_settings.deduplication_scope
     if executed is None or request.class_settings.idempotency is not Idempotency.KEYED:
@@ -45,7 +47,7 @@
 
 
 def is_harmless_to_repeat(request: RequestState) -> bool:
-    """Return whether a client may repeat the request, whatever became of its attempts."""
+    """Return whether a client may safely repeat the request, given what its attempts may have executed."""
     cls = request.class_settings
     if cls.idempotency is Idempotency.SAFE:
         return True
@@ -55,7 +57,7 @@
 
 
 def is_worth_trying(now: float, request: RequestState) -> bool:
-    """Return whether another attempt is allowed and can still be answered in time."""
+    """Return whether another attempt is allowed and likely to get its response in time."""
     if not request.has_attempts_left() or not may_repeat(now, request):
         return False
     expected_s = request.class_statistics.expected_latency_s(request.hint_s)
@@ -65,51 +67,55 @@
 def overdue_after_s(now: float, request: RequestState, expected_s: float) -> float:
     """Return how long an attempt may take before it counts as overdue.
 
-    It is long enough for most answers, and short enough to leave time for another attempt.
+    The time is long enough for most responses, and short enough to leave time for another attempt.
     """
     latest = request.objective_at - now - RETRY_LATENCY_RATIO * expected_s
     return max(min(OVERDUE_LATENCY_RATIO * expected_s, latest), MIN_OVERDUE_LATENCY_RATIO * expected_s)
 
 
 class RetryBudget:
-    """Tokens for retries, hedged attempts and late answers, earned by timely answers.
+    """Token buckets for retries, hedged requests and late responses, refilled by timely responses.
 
-    A fleet that serves little thus gets few further attempts, which prevents retry storms, and spends little
-    on answers that come too late.
+    A fleet that serves few requests in time thus gets few retries, which prevents retry storms, and spends
+    little work on responses that come too late.
     """
 
     def __init__(self) -> None:
         self._retry_tokens = MAX_TOKENS
         self._hedge_tokens = INITIAL_HEDGE_TOKENS
-        self._late_tokens = INITIAL_LATE_TOKENS  # may fall below 0 where several attempts are late at once
+        self._late_response_tokens = (
+            INITIAL_LATE_RESPONSE_TOKENS  # may fall below 0 if several attempts are late at once
+        )
 
     def credit(self, hedged: bool) -> None:
-        """Earn tokens for a timely answer; one to a hedged attempt refunds the price of hedging."""
-        self._retry_tokens = min(self._retry_tokens + RETRIES_PER_TIMELY_ANSWER, MAX_TOKENS)
-        self._hedge_tokens += 1.0 if hedged else HEDGES_PER_TIMELY_ANSWER
+        """Add tokens for a timely response; one to a hedged request refunds its token."""
+        self._retry_tokens = min(self._retry_tokens + RETRIES_PER_TIMELY_RESPONSE, MAX_TOKENS)
+        self._hedge_tokens += 1.0 if hedged else HEDGES_PER_TIMELY_RESPONSE
         self._hedge_tokens = min(self._hedge_tokens, MAX_TOKENS)
-        self._late_tokens = min(self._late_tokens + LATE_ANSWERS_PER_TIMELY_ANSWER, MAX_TOKENS)
+        self._late_response_tokens = min(
+            self._late_response_tokens + LATE_RESPONSES_PER_TIMELY_RESPONSE, MAX_TOKENS
+        )
 
     def can_retry(self, price: float) -> bool:
-        """Return whether there are tokens for a retry."""
+        """Return whether there are enough tokens for a retry at this price."""
         return self._retry_tokens >= price
 
     def spend_retry(self, price: float) -> None:
-        """Pay for a retry."""
+        """Take the tokens for a retry."""
         self._retry_tokens -= price
 
     def can_hedge(self) -> bool:
-        """Return whether there is a token for a hedged attempt."""
+        """Return whether there is a token for a hedged request."""
         return self._hedge_tokens >= 1.0
 
     def spend_hedge(self) -> None:
-        """Pay for a hedged attempt."""
+        """Take the token for a hedged request."""
         self._hedge_tokens -= 1.0
 
-    def can_answer_late(self) -> bool:
-        """Return whether there is a token for an attempt that misses its objective."""
-        return self._late_tokens >= 1.0
+    def can_wait_for_late_response(self) -> bool:
+        """Return whether there is a token for an attempt that may miss its objective."""
+        return self._late_response_tokens >= 1.0
 
-    def spend_late_answer(self) -> None:
-        """Pay for an attempt that has missed its objective and is left to end."""
-        self._late_tokens -= 1.0
+    def spend_late_response(self) -> None:
+        """Take the token for an attempt that missed its objective and was not cancelled."""
+        self._late_response_tokens -= 1.0
