--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -49,7 +49,7 @@
     def _record_success(
         self, now: float, request: RequestState, attempt: AttemptState, event: AttemptEnded
     ) -> None:
-        self._traffic.record_answer()
+        self._traffic.record_response()
         if event.final and now <= request.objective_at:
             self._traffic.record_timely(now)
             self._budget.credit(attempt.hedged)
@@ -57,7 +57,7 @@
         if attempt.missed_objective:
             return
         attempt.upstream.record_latency(now, event.elapsed / attempt.expected_s)
-        request.class_statistics.record_answer(event.elapsed, request.hint_s)
+        request.class_statistics.record_response(event.elapsed, request.hint_s)
 
     def _record_timeout(self, now: float, attempt: AttemptState, elapsed_s: float) -> None:
         upstream = attempt.upstream
--- a/indigokeel/balancing/class_statistics.py
+++ b/indigokeel/balancing/class_statistics.py
@@ -5,11 +5,11 @@
 from indigokeel.balancing.settings import ClassSettings
 from indigokeel.balancing.statistics import DecayingSum
 
-ARRIVALS_TIME_CONSTANT_S = 4.0  # arrivals by class and tenant are counted over this time
+ARRIVAL_COUNT_TIME_CONSTANT_S = 4.0  # decay of the arrivals counted by class and by tenant
 LATENCY_STEP = 0.05  # weight of a new latency or work estimate in the running mean
-INITIAL_LATENCY_RATIO = 0.25  # of the latency objective, until an answer was observed
-MIN_WORK_RATIO = 0.5  # of the usual latency that does not depend on the work of a request
-MAX_HINT_RATIO = 6.0  # of the usual work estimate; larger ones count as this
+INITIAL_LATENCY_RATIO = 0.25  # of the latency objective; used until a response was observed
+MIN_WORK_RATIO = 0.5  # fraction of the usual latency that does not depend on the work of a request
+MAX_HINT_RATIO = 6.0  # of the usual work estimate; larger estimates are clamped to this multiple
 
 
 class ClassStatistics:
@@ -21,14 +21,16 @@
 
     def __init__(self, settings: ClassSettings) -> None:
         self.name = settings.name
-        self.arrivals = DecayingSum(ARRIVALS_TIME_CONSTANT_S)
-        self.early_rejection_ratio = 0.0  # rejected before any work while the sidecar is overloaded
+        self.arrivals = DecayingSum(ARRIVAL_COUNT_TIME_CONSTANT_S)
+        self.early_rejection_ratio = 0.0  # rejected before any work is done while the sidecar is overloaded
         self.usual_latency_s = settings.latency_objective * INITIAL_LATENCY_RATIO
         self.usual_hint_s = 0.0
-        self.refused_in_a_row = 0  # since the last attempt, because no upstream has capacity
+        self.refused_in_a_row = (
+            0  # consecutive requests without an upstream of enough capacity; reset by an attempt
+        )
 
-    def record_answer(self, latency_s: float, hint_s: float) -> None:
-        """Record the latency of an answer and the work estimate of its request (0: none)."""
+    def record_response(self, latency_s: float, hint_s: float) -> None:
+        """Record the latency of a response and the work estimate of its request (0: none)."""
         self.usual_latency_s += LATENCY_STEP * (latency_s - self.usual_latency_s)
         if hint_s > 0.0:
             if self.usual_hint_s == 0.0:
--- a/indigokeel/balancing/early_admission.py
+++ b/indigokeel/balancing/early_admission.py
@@ -1,4 +1,4 @@
-"""Early admission control: reject requests before any work while the sidecar itself falls behind."""
+"""Early admission control: reject requests before any work is done while the sidecar is overloaded."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from indigokeel.balancing.settings import Settings
 
 LAG_SMOOTHING = 0.25  # weight of the newest sample in the smoothed lag
-MAX_LAG_RATIO = 0.5  # of the shortest latency objective; with more lag the sidecar is overloaded
-ADMITTED_DECREASE = 0.85  # factor of the admitted ratio, with each sample while overloaded
-ADMITTED_INCREASE = 0.015  # added to the admitted ratio, with each sample otherwise
-MAX_MISSED_SAMPLES = 4.0  # that one late sample counts for
-LAGS_PER_REQUEST = 2.0  # times the lag that a request spends waiting for the sidecar
+MAX_LAG_RATIO = 0.5  # multiple of the shortest latency objective; with more lag the sidecar is overloaded
+ADMITTED_DECREASE = 0.85  # factor of the admitted ratio with each late sample while overloaded
+ADMITTED_INCREASE = 0.015  # added to the admitted ratio with each other sample, scaled by the headroom
+MAX_MISSED_SAMPLES = 4.0  # limit of the number of samples that one late sample counts as
+LAGS_PER_REQUEST = 2.0  # a request waits for the sidecar for this multiple of the event loop lag
 
 
 class EarlyAdmissionControl:
-    """Adapts the admitted ratio of requests to the lag of the sidecar's event loop."""
+    """Adapts the fraction of admitted requests to the lag of the sidecar's event loop."""
 
     def __init__(self, settings: Settings, mix: RequestMix, random: Random, sink: ActionSink) -> None:
         self._mix = mix
@@ -32,7 +32,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         self._max_lag_s = MAX_LAG_RATIO * min(cls.latency_objective for cls in settings.classes)
         self._retry_after_s = retry_after_s(settings.limits)
 
@@ -51,14 +51,15 @@
         self._last_sample_was_late = is_late
         samples = 1.0
         if previous_was_late and is_late:
-            # The second late sample in a row also counts for those that were missed; a single pause does not.
+            # A second late sample in a row also counts for the samples missed before it; a single one, as
+            # after a pause, does not.
             samples = min(max(lag_s / LAG_SAMPLE_INTERVAL_S, 1.0), MAX_MISSED_SAMPLES)
         self._smoothed_lag_s += (1.0 - (1.0 - LAG_SMOOTHING) ** samples) * (lag_s - self._smoothed_lag_s)
         was_rejecting = self._admitted_ratio < 1.0
         self._update_admitted_ratio(samples, is_late)
         is_rejecting = self._admitted_ratio < 1.0
         if was_rejecting or is_rejecting:
-            for statistics, ratio in self._mix.apportion(now, 1.0 - self._admitted_ratio):
+            for statistics, ratio in self._mix.rejection_ratios(now, 1.0 - self._admitted_ratio):
                 statistics.early_rejection_ratio = ratio
         if was_rejecting != is_rejecting:
             self._log_change(is_rejecting)
@@ -80,10 +81,10 @@
         self._sink.add(LogMessage(text))
 
     def rejection_delay_s(self, now: float, class_name: str, budget_s: float) -> float | None:
-        """Return None to admit a request, else the wait in seconds that its client is advised.
+        """Return None to admit a request, or the retry delay in seconds to advise if it is rejected.
 
-        A request is rejected if its budget is too short for the present lag, or by chance so that more
-        valuable classes are served.
+        A request is rejected if its budget is too short for the current lag, or at random, with a higher
+        probability for classes of less value.
         """
         statistics = self._mix.statistics.get(class_name)
         if statistics is None or not self.is_overloaded():
--- a/indigokeel/balancing/fair_share.py
+++ b/indigokeel/balancing/fair_share.py
@@ -6,10 +6,10 @@
 
 
 def reduce_to_fair_share(amounts: list[float], weights: list[float], excess: float) -> list[float]:
-    """Return the amounts after removing ``excess`` in total, largest for their weight first.
+    """Return the amounts reduced by ``excess`` in total, those largest relative to their weight first.
 
-    The removed part is taken down to one common level per weight (max-min fairness); amounts without a
-    weight go first.
+    Reduced amounts end at one common ratio of amount to weight (weighted max-min fairness); amounts of weight
+    zero are reduced first.
     """
     kept = list(amounts)
     order = sorted(range(len(kept)), key=lambda i: kept[i] / weights[i] if weights[i] > 0.0 else math.inf)
--- a/indigokeel/balancing/health_checks.py
+++ b/indigokeel/balancing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: ask upstreams for load reports where answers do not carry them."""
+"""Health checks: request load reports from upstreams whose responses do not carry them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from indigokeel.balancing.subsetting import Subset
 from indigokeel.balancing.upstream_registry import UpstreamRegistry
 
-INITIAL_TOKENS = 8.0  # checks sent at once after a start, one with each request
+INITIAL_TOKENS = 8.0  # health checks allowed right after a start, one with each request
 CHECKS_PER_REQUEST = 0.25
-MAX_COST_RATIO = 0.002  # of the whole, that the price of health checks may take
+MAX_COST_RATIO = 0.002  # of the total value; the most that health checks may cost
 MIN_PRICE = 1e-9
 
 
 class HealthChecks:
-    """Sends health checks at the pace of the own traffic and records their results."""
+    """Sends health checks in proportion to this sidecar's traffic, and records their results."""
 
     def __init__(
         self,
@@ -35,14 +35,17 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         is_source = settings.load_report_source is LoadReportSource.HEALTH_CHECKS
         self._is_enabled = is_source and settings.limits.health_checks
         price = max(settings.prices.health_check, MIN_PRICE)
         self._tokens_per_request = min(CHECKS_PER_REQUEST, MAX_COST_RATIO / price)
 
     def send_if_due(self, now: float) -> None:
-        """Count a request, and check the warm upstream of the subset that was checked longest ago if due."""
+        """Count a request, and send a health check if one is due.
+
+        It goes to the warm upstream of the subset whose last check is the oldest.
+        """
         if not self._is_enabled:
             return
         self._tokens += self._tokens_per_request
--- a/indigokeel/balancing/idle_connections.py
+++ b/indigokeel/balancing/idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are closed: a full connection table takes capacity from an upstream."""
+"""Closes idle connections, because a full connection table costs an upstream capacity."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from indigokeel.balancing.settings import Settings
 from indigokeel.balancing.upstream_state import UpstreamState
 
-MAX_IDLE_UPSTREAMS = 64  # without open attempts, that connections are kept to
-MAX_IDLE_UPSTREAMS_PRICED = 1  # ... where open connections have a price
+MAX_IDLE_UPSTREAMS = 64  # upstreams without open attempts whose connections are kept open
+MAX_IDLE_UPSTREAMS_PRICED = 1  # the same limit where open connections have a price
 
 
 class IdleConnections:
@@ -22,16 +22,16 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         has_price = settings.prices.connection > 0.0
         self._max_upstreams = MAX_IDLE_UPSTREAMS_PRICED if has_price else MAX_IDLE_UPSTREAMS
 
     def mark_used(self, upstream: UpstreamState) -> None:
-        """Note that an attempt is sent to an upstream."""
+        """Record that an attempt is sent to an upstream."""
         self._idle.pop(upstream.member.id, None)
 
     def attempt_ended(self, upstream: UpstreamState) -> None:
-        """Note that an attempt ended, and close the connections that have been idle longest if too many."""
+        """Record the end of an attempt, and close the connections idle for longest if too many are idle."""
         if upstream.open_attempts == 0:
             self._idle[upstream.member.id] = None
             self._idle.move_to_end(upstream.member.id)
--- a/indigokeel/balancing/load_shedding.py
+++ b/indigokeel/balancing/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: reject at once what the fleet shows it cannot answer in time."""
+"""Load shedding: reject requests on arrival when the fleet fails to respond in time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from indigokeel.balancing.action_sink import ActionSink
 from indigokeel.balancing.actions import LogMessage
-from indigokeel.balancing.class_statistics import ARRIVALS_TIME_CONSTANT_S
+from indigokeel.balancing.class_statistics import ARRIVAL_COUNT_TIME_CONSTANT_S
 from indigokeel.balancing.fair_share import reduce_to_fair_share
 from indigokeel.balancing.request_mix import MAX_REJECTED_RATIO, RequestMix
 from indigokeel.balancing.settings import Settings
@@ -15,27 +15,27 @@
 from indigokeel.balancing.traffic_statistics import TrafficStatistics
 
 UPDATE_INTERVAL_S = 0.25
-MAX_LATE_RATIO = 0.2  # late answers for each timely one; with more, requests are shed
-MIN_LATE_COUNT = 2.0  # late answers above that ratio before any request is shed
-ADMITTED_DECREASE = 0.85  # factor of the admitted ratio, at each update while too many answers are late
-ADMITTED_INCREASE = 0.04  # added to the admitted ratio, at each update otherwise
+MAX_LATE_RATIO = 0.2  # late responses per timely one; requests are shed above this ratio
+MIN_LATE_COUNT = 2.0  # late responses in excess of that ratio before any request is shed
+ADMITTED_DECREASE = 0.85  # factor of the admitted ratio at each update while too many responses are late
+ADMITTED_INCREASE = 0.04  # added to the admitted ratio at each other update
 
 
-class _Tenant:
-    """The arrivals of one tenant, and the part of its requests that is shed, by class."""
+class _TenantState:
+    """The arrivals of one tenant, and the fraction of its requests that is shed, by class."""
 
     __slots__ = ("arrivals", "shed_ratios")
 
     def __init__(self) -> None:
-        self.arrivals = DecayingSum(ARRIVALS_TIME_CONSTANT_S)
+        self.arrivals = DecayingSum(ARRIVAL_COUNT_TIME_CONSTANT_S)
         self.shed_ratios: dict[str, float] = {}
 
 
 class LoadShedding:
-    """Decides which requests are rejected because too many answers are late.
+    """Decides which requests are rejected because too many responses are late.
 
-    Only lateness counts: errors of upstreams are no overload, and rejected requests that are repeated must
-    not count as load.
+    Only late responses count: errors of upstreams do not indicate overload, and repeats of rejected requests
+    must not count as load.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         self._admitted_ratio = 1.0
         self._next_update_at = -math.inf
         self._is_shedding = False
-        self._tenants: dict[str, _Tenant] = {}
-        self._other_tenants = _Tenant()  # all without a quota
+        self._tenants: dict[str, _TenantState] = {}
+        self._other_tenants = _TenantState()  # all tenants without a quota, counted as one
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on; tenants that stay keep their statistics."""
+        """Apply new settings; tenants that remain configured keep their statistics."""
         self._quotas = {tenant.name: tenant.quota for tenant in settings.tenants if tenant.quota > 0.0}
-        self._tenants = {name: self._tenants.get(name) or _Tenant() for name in self._quotas}
+        self._tenants = {name: self._tenants.get(name) or _TenantState() for name in self._quotas}
         self._protects_quotas = settings.over_quota_weight < 1.0
 
     def record_arrival(self, now: float, tenant: str) -> None:
-        """Count a request of a tenant, and update the shed ratios if that is due."""
+        """Count a request of a tenant, and update the shed ratios if an update is due."""
         self._tenants.get(tenant, self._other_tenants).arrivals.add(now, 1.0)
         if now >= self._next_update_at:
             self._next_update_at = now + UPDATE_INTERVAL_S
@@ -73,7 +73,7 @@
             self._log_change()
 
     def should_reject(self, tenant: str, class_name: str) -> bool:
-        """Decide by chance whether a request is rejected."""
+        """Decide at random, by the shed ratio, whether to reject a request."""
         ratios = self._tenants.get(tenant, self._other_tenants).shed_ratios
         return self._random.random() < ratios.get(class_name, 0.0)
 
@@ -85,22 +85,24 @@
             self._admitted_ratio = min(self._admitted_ratio + ADMITTED_INCREASE, 1.0)
 
     def _update_shed_ratios(self, now: float, excess: float) -> None:
-        for tenant, part in self._apportion_to_tenants(now, excess):
-            apportioned = self._mix.apportion(now, part)
-            tenant.shed_ratios = {statistics.name: ratio for statistics, ratio in apportioned}
+        for tenant, tenant_ratio in self._tenant_rejection_ratios(now, excess):
+            class_ratios = self._mix.rejection_ratios(now, tenant_ratio)
+            tenant.shed_ratios = {statistics.name: ratio for statistics, ratio in class_ratios}
 
-    def _apportion_to_tenants(self, now: float, excess: float) -> list[tuple[_Tenant, float]]:
-        """Return the part of each tenant's requests to reject so that ``excess`` of all requests is.
+    def _tenant_rejection_ratios(self, now: float, excess: float) -> list[tuple[_TenantState, float]]:
+        """Return the fraction of each tenant's requests to reject so that ``excess`` of all requests are.
 
-        What a tenant requests beyond the others, each measured by its quota, is rejected first.
+        Requests of the tenants with the most arrivals relative to their quota are rejected first.
         """
         tenants = list(self._tenants.values())
         if not self._protects_quotas:
             return [(tenant, excess) for tenant in (*tenants, self._other_tenants)]
         counts = [tenant.arrivals.value(now) for tenant in tenants]
         kept = reduce_to_fair_share(counts, list(self._quotas.values()), excess * sum(counts))
-        parts = [1.0 - rest / count if count > 0.0 else 0.0 for count, rest in zip(counts, kept, strict=True)]
-        return [(self._other_tenants, excess), *zip(tenants, parts, strict=True)]
+        ratios = [
+            1.0 - rest / count if count > 0.0 else 0.0 for count, rest in zip(counts, kept, strict=True)
+        ]
+        return [(self._other_tenants, excess), *zip(tenants, ratios, strict=True)]
 
     def _log_change(self) -> None:
         is_shedding = self._admitted_ratio < 1.0
--- a/indigokeel/balancing/retry_policy.py
+++ b/indigokeel/balancing/retry_policy.py
@@ -14,12 +14,10 @@
 MAX_TOKENS = 3.0  # limit of each kind of token, and so of a burst
 INITIAL_LATE_RESPONSE_TOKENS = 1.0
 INITIAL_HEDGE_TOKENS = 0.5  # less than one: after a start, hedging first has to be earned
-OVERDUE_LATENCY_RATIO = 3.0  # an attempt is overdue after this multiple of the expected latency
-MIN_OVERDUE_LATENCY_RATIO = 1.5  # but never before this multiple
-RETRY_LATENCY_RATIO = 1.2  # multiple of the expected latency that is reserved for another attempt
-MIN_RETRY_LATENCY_RATIO = (
-    0.5  # a retry is pointless with less time left than this multiple of the expected latency
-)
+OVERDUE_LATENCY_RATIO = 3.0  # of the expected latency, after which an attempt is overdue
+MIN_OVERDUE_LATENCY_RATIO = 1.5  # of the expected latency; an attempt is never overdue earlier
+RETRY_LATENCY_RATIO = 1.2  # of the expected latency; the time reserved for another attempt
+MIN_RETRY_LATENCY_RATIO = 0.5  # of the expected latency; with less time left a retry is pointless
 
 
 def may_repeat(at: float, request: RequestState) -> bool:
@@ -83,12 +81,11 @@
     def __init__(self) -> None:
         self._retry_tokens = MAX_TOKENS
         self._hedge_tokens = INITIAL_HEDGE_TOKENS
-        self._late_response_tokens = (
-            INITIAL_LATE_RESPONSE_TOKENS  # may fall below 0 if several attempts are late at once
-        )
+        # May fall below 0 if several attempts are late at once.
+        self._late_response_tokens = INITIAL_LATE_RESPONSE_TOKENS
 
     def credit(self, hedged: bool) -> None:
-        """Add tokens for a timely response; one to a hedged request refunds its token."""
+        """Add tokens for a timely response; a hedged request gets back the token it took."""
         self._retry_tokens = min(self._retry_tokens + RETRIES_PER_TIMELY_RESPONSE, MAX_TOKENS)
         self._hedge_tokens += 1.0 if hedged else HEDGES_PER_TIMELY_RESPONSE
         self._hedge_tokens = min(self._hedge_tokens, MAX_TOKENS)
--- a/indigokeel/balancing/settings.py
+++ b/indigokeel/balancing/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the balancer: what a deployment states. All times are seconds."""
+"""The settings of the balancer, as a deployment states them. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Idempotency(FastHashEnum):
-    """What a repeat of a request may do."""
+    """Whether a request may be repeated after it may have been executed."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -16,7 +16,7 @@
 
 
 class DeduplicationScope(FastHashEnum):
-    """The upstreams that drop a repeat of the same keyed request."""
+    """The upstreams among which a repeat of a keyed request is detected and not executed again."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,7 +24,7 @@
 
 
 class LoadReportSource(FastHashEnum):
-    """Where load reports come from."""
+    """The source of load reports."""
 
     ANSWERS = "answers"
     HEALTH_CHECKS = "probes"
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests."""
+    """One request class."""
 
     name: str
-    latency_objective: float  # an answer within this time has the full value
+    latency_objective: float  # a response within this time has full value
     deadline: float
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
@@ -44,7 +44,7 @@
     priority_weight: float = 1.0
     late_weight: float = 0.0
     streaming: bool = False
-    objective_stretch: float = 0.0  # the objective is extended by this multiple of the work hint
+    objective_stretch: float = 0.0  # the objective is extended by this multiple of the work estimate
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,12 +53,12 @@
 
     name: str
     share: float = 0.0
-    quota: float = 0.0  # requests a second over all sidecars; 0: none stated
+    quota: float = 0.0  # requests per second over all sidecars; 0: no quota
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits and its limits."""
+    """Optional features that the deployment permits, and its limits."""
 
     cancellation: bool = True
     hedging: bool = True
@@ -66,14 +66,14 @@
     max_attempts: int = 3
     connect_timeout: float = 0.25
     keepalive: float = 15.0
-    retry_after: bool = False  # clients receive the wait that a refusal advises
+    retry_after: bool = False  # rejected requests are answered with a retry delay
     max_retry_after: float = 0.0
     max_open_requests: int = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """The figures of the safety rules."""
+    """Parameters of the safety rules."""
 
     poll_within: float = 10.0
     warm_up_initial_ratio: float = 0.3
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What a deployment deducts, in parts of the whole for each unit."""
+    """Costs that a deployment charges per unit, as fractions of the total value."""
 
     cross_zone: float = 0.0
     health_check: float = 0.0
@@ -106,8 +106,8 @@
     safety: Safety = field(default_factory=Safety)
     prices: Prices = field(default_factory=Prices)
     load_report_source: LoadReportSource = LoadReportSource.ANSWERS
-    polls_membership: bool = False  # True: changes arrive only after a Subscribe or a FetchList
-    scale_is_capacity: bool = False  # True: Member.scale is the size of an upstream
-    key_affinity: bool = False  # an upstream does less work for a key it met lately
-    weight_by_work: bool = False  # priority weights are for each unit of work
+    polls_membership: bool = False  # True: updates arrive only after a WatchEndpoints or FetchEndpoints
+    scale_is_capacity: bool = False  # True: Member.scale is the relative capacity of an upstream
+    key_affinity: bool = False  # an upstream does less work for a key that it has served recently
+    weight_by_work: bool = False  # priority weights are per unit of work, not per request
     over_quota_weight: float = 1.0
--- a/indigokeel/balancing/warm_up_admission.py
+++ b/indigokeel/balancing/warm_up_admission.py
@@ -1,4 +1,4 @@
-"""Limits on what upstreams are sent while they warm up."""
+"""Limits the requests that are sent to upstreams while they warm up."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from indigokeel.balancing.upstream_registry import MIN_SUBSET_SIZE, UpstreamRegistry
 from indigokeel.balancing.upstream_state import UpstreamState
 
-LOAD_DECAY = 0.95  # of the measured load, with each measurement
-RATE_PRIOR_PER_S = 1.0  # added to the rates of requests and answers before they are compared
-MIN_FLEET_RATE = 1e-9  # requests a second, against a division by zero
+LOAD_DECAY = 0.95  # factor of the measured load with each measurement
+RATE_PRIOR_PER_S = 1.0  # added to the rates of arrivals and of responses before they are compared
+MIN_FLEET_RATE = 1e-9  # requests per second; avoids a division by zero
 
 
 class WarmUpAdmission:
-    """Decides how much of this sidecar's traffic an upstream gets while it warms up."""
+    """Decides how much of this sidecar's traffic an upstream is sent while it warms up."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         self._capacities = capacities
         self._traffic = traffic
         self._random = random
-        self._load: float | None = None  # of the used upstreams, if all were warm; None: unknown
-        self._fleet_traffic_share = 1.0  # of the fleet's traffic, that passes through this sidecar
-        self._used_capacity = 1.0  # of the used upstreams when warm, relative to the fleet's mean
+        self._load: float | None = None  # utilisation of the used upstreams if all were warm; None: unknown
+        self._fleet_traffic_share = 1.0  # fraction of the fleet's traffic that passes through this sidecar
+        self._used_capacity = 1.0  # capacity of the used upstreams when warm, in units of the fleet's mean
         self._warm_count = 0
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use these settings from now on."""
+        """Apply new settings."""
         self._safety = settings.safety
         self._is_only_sidecar = settings.sidecars <= 1
 
@@ -66,34 +66,39 @@
             self._fleet_traffic_share = min(self._traffic.timely_per_s(now) / fleet_rate, 1.0)
 
     def _measure_load(self, now: float, mean_rate: float) -> None:
-        requested = self._traffic.arrivals_per_s(now)
-        answered = self._traffic.timely_per_s(now)
-        unmet_ratio = max((requested + RATE_PRIOR_PER_S) / (answered + RATE_PRIOR_PER_S), 1.0)
+        arrivals_per_s = self._traffic.arrivals_per_s(now)
+        timely_per_s = self._traffic.timely_per_s(now)
+        unmet_ratio = max((arrivals_per_s + RATE_PRIOR_PER_S) / (timely_per_s + RATE_PRIOR_PER_S), 1.0)
         load = mean_rate / math.exp(self._capacities.fleet.value()) * unmet_ratio
-        # It decays slowly, because nobody reports it after a restart of the upstreams.
+        # It decays slowly, because no upstream reports it after all of them have restarted.
         self._load = max(load, (self._load or 0.0) * LOAD_DECAY)
 
     def max_weight(self, warm_weights: Collection[float]) -> float:
-        """Return the largest weight beside these warm upstreams, to be scaled by the warm-up weight."""
-        ratio = slow_start.warming_weight_ratio(self._safety, self._traffic.attempts_per_answer())
+        """Return the weight limit beside these warm upstreams, to be multiplied by the warm-up weight."""
+        ratio = slow_start.warming_weight_ratio(self._safety, self._traffic.attempts_per_response())
         return sum(warm_weights) / len(warm_weights) * ratio
 
     def try_admit(self, now: float, upstream: UpstreamState, traffic_ratio: float) -> bool:
-        """Admit a request to an upstream that would get this part of the own requests, or return False."""
+        """Admit a request to an upstream that would get this fraction of this sidecar's requests.
+
+        Return False if it is not admitted.
+        """
         if self._load is not None:
             self._start_slot(now, upstream)
             if upstream.slot_remaining <= 0:
                 return False
-        present = upstream.warm_up_weight * upstream.relative_capacity / self._used_capacity
-        attempts_per_answer = self._traffic.attempts_per_answer()
-        allowed = slow_start.warming_traffic_ratio(self._safety, present, self._load, attempts_per_answer)
+        capacity_ratio = upstream.warm_up_weight * upstream.relative_capacity / self._used_capacity
+        attempts_per_response = self._traffic.attempts_per_response()
+        allowed = slow_start.warming_traffic_ratio(
+            self._safety, capacity_ratio, self._load, attempts_per_response
+        )
         if allowed < traffic_ratio and self._random.random() * traffic_ratio >= allowed:
             return False
         upstream.slot_remaining -= 1
         return True
 
     def _start_slot(self, now: float, upstream: UpstreamState) -> None:
-        """Refill the quota of an upstream if a new slot has begun."""
+        """Renew the quota of an upstream if a new slot has started."""
         slot = (now - upstream.member.started) // (self._safety.overload_window / 2.0)
         if slot == upstream.slot:
             return
