--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -20,7 +20,7 @@
 
 
 def teach(driver: Driver, loads: dict[str, LoadReport], rounds: int = 400) -> None:
-    """Serve requests, each answer with its upstream's report, until all have been heard."""
+    """Serve requests until every upstream has sent its load report; responses carry the reports."""
     for _ in range(rounds):
         driver.now += 0.02
         _, actions = driver.request()
@@ -29,19 +29,19 @@
 
 
 def picks(driver: Driver, count: int = 600) -> dict[str, int]:
-    """First choices, with the clock standing still and no reports."""
-    got: dict[str, int] = {}
+    """Count the first choices of upstreams, while the clock stands still and no load report arrives."""
+    counts: dict[str, int] = {}
     for _ in range(count):
         _, actions = driver.request()
         send = sends(actions)[0]
-        got[send.upstream] = got.get(send.upstream, 0) + 1
+        counts[send.upstream] = counts.get(send.upstream, 0) + 1
         driver.end(send, elapsed=0.12)
-    return got
+    return counts
 
 
-def in_flight(driver: Driver, **held: float) -> None:
-    """Have upstreams tell, by probe, how many requests they hold."""
-    for name, count in held.items():
+def in_flight(driver: Driver, **in_flight_counts: float) -> None:
+    """Report by health check how many requests each upstream has in flight."""
+    for name, count in in_flight_counts.items():
         ended = HealthCheckEnded(name, AttemptOutcome.OK, 0.001, LoadReport(in_flight=count))
         driver.balancer.handle(driver.now, ended)
 
--- a/tests/unit/balancing/test_attempt_timeouts.py
+++ b/tests/unit/balancing/test_attempt_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may take: no figure that was learned may keep a healthy fleet from serving."""
+"""Timeouts of attempts: learned latencies must not prevent a healthy fleet from serving requests."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 from indigokeel.balancing.settings import Limits
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings
 
-HEADER_RESOLUTION_S = 0.001  # of the time that an attempt tells its upstream
+HEADER_RESOLUTION_S = 0.001  # of the header in which an attempt states its time limit
 OBJECTIVE_S = 12.0
 CLASSES = tuple(
-    replace(each, latency_objective=OBJECTIVE_S, deadline=30.0, idempotency_window=20.0)
-    for each in (SAFE, KEYED, UNSAFE)
+    replace(cls, latency_objective=OBJECTIVE_S, deadline=30.0, idempotency_window=20.0)
+    for cls in (SAFE, KEYED, UNSAFE)
 )
 
 
 class IdleFleet:
-    """A balancer and healthy upstreams without other load: each answers an attempt after ``latency_s``."""
+    """A balancer with healthy, otherwise idle upstreams that respond to each attempt after ``latency_s``."""
 
     def __init__(self, hedging: bool, latency_s: float, loop_lag_s: float = 0.0) -> None:
         limits = Limits(max_attempts=3, hedging=hedging)
         self.driver = Driver(make_settings(classes=CLASSES, limits=limits), make_members(6))
         self.latency_s = latency_s
-        self.loop_lag_s = loop_lag_s  # an attempt is written, and its answer read, so late
+        self.loop_lag_s = loop_lag_s  # delays the write of an attempt and the read of its response
         self._due: list[tuple[float, int, Event]] = []
         self._numbers = itertools.count()
         self._sent: dict[str, int] = {}
         self._open: set[tuple[str, int]] = set()
 
     def serve(self, class_name: str) -> bool:
-        """Play one request to its end; return whether it was served."""
+        """Run one request to its end; return whether it was served."""
         name, actions = self.driver.request(class_name, budget=25.0)
         served = not self._carry_out(actions)
         while self._due:
@@ -58,7 +58,7 @@
         return served
 
     def _carry_out(self, actions: list[Action]) -> bool:
-        """Carry out actions; return whether one of them refuses or fails the request."""
+        """Carry out actions; return whether one of them rejects or fails the request."""
         for action in actions:
             if isinstance(action, SetTimer):
                 self._schedule(action.delay, TimerFired(action.token))
@@ -66,9 +66,9 @@
                 self._send(action)
             elif isinstance(action, CancelAttempt):
                 outcome = AttemptOutcome.CANCELLED
-                upstream = self.driver.balancer._requests.get(action.id)
-                assert upstream is not None
-                attempt = upstream.attempts[action.attempt]
+                request = self.driver.balancer._requests.get(action.id)
+                assert request is not None
+                attempt = request.attempts[action.attempt]
                 name = attempt.upstream.member.id
                 event = AttemptEnded(
                     action.id, name, action.attempt, outcome, self.driver.now - attempt.sent_at
@@ -96,18 +96,18 @@
 @pytest.mark.parametrize("hedging", [True, False])
 @pytest.mark.parametrize("class_name", ["view", "order", "pay"])
 @pytest.mark.parametrize("latency_s", [1e-6, 1e-5, 1e-4, 1e-3, 0.01, 0.1, 1.0, 10.0])
-def test_idle_fleet_serves_everything_however_fast_it_is(
+def test_idle_fleet_serves_every_request_at_any_latency(
     hedging: bool, class_name: str, latency_s: float
 ) -> None:
-    """Guards against attempts whose learned time is too short to be sent at all."""
+    """Guards against timeouts from learned latencies that are too short for an attempt to be sent at all."""
     fleet = IdleFleet(hedging, latency_s)
     fleet.driver.balancer.learned_figures().classes[class_name].usual_latency_s = max(latency_s, 1e-6)
     assert [fleet.serve(class_name) for _ in range(300)].count(False) == 0
 
 
 @pytest.mark.parametrize("lag_s", [0.0, 0.005, 0.05, 0.15])
-def test_idle_fleet_serves_everything_though_the_event_loop_is_late(lag_s: float) -> None:
-    """Guards against attempts whose learned time passes while this process is held up."""
+def test_idle_fleet_serves_every_request_despite_event_loop_lag(lag_s: float) -> None:
+    """Guards against timeouts from learned latencies that expire while this process is delayed."""
     fleet = IdleFleet(False, 0.0001)
     for _ in range(300):
         assert fleet.serve("view")
@@ -119,10 +119,10 @@
 @pytest.mark.parametrize("hedging", [True, False])
 @pytest.mark.parametrize("class_name", ["view", "order", "pay"])
 @pytest.mark.parametrize(("before_s", "after_s"), [(1e-5, 0.2), (0.01, 0.1), (0.05, 1.5), (10.0, 1e-4)])
-def test_fleet_that_becomes_slower_or_faster_is_served_by_again(
+def test_fleet_serves_requests_again_after_its_latency_changes(
     hedging: bool, class_name: str, before_s: float, after_s: float
 ) -> None:
-    """Guards against a usual latency that time-outs keep from being learned anew."""
+    """Guards against timeouts that prevent a changed latency from being learned."""
     fleet = IdleFleet(hedging, before_s)
     for _ in range(300):
         fleet.serve(class_name)
--- a/tests/unit/balancing/test_health_checks.py
+++ b/tests/unit/balancing/test_health_checks.py
@@ -27,10 +27,11 @@
             driver.now += 0.5
             _, actions = driver.request()
             driver.end(sends(actions)[0])
-            for probe in of(actions, SendHealthCheck):
+            for health_check in of(actions, SendHealthCheck):
                 count += 1
                 driver.balancer.handle(
-                    driver.now, HealthCheckEnded(probe.upstream, AttemptOutcome.OK, 0.001, load(20.0, 0.5))
+                    driver.now,
+                    HealthCheckEnded(health_check.upstream, AttemptOutcome.OK, 0.001, load(20.0, 0.5)),
                 )
         return count
 
@@ -41,11 +42,11 @@
 
 
 def test_health_check_without_figures_changes_nothing() -> None:
-    """A report that lacks the figure changes nothing of what is known."""
+    """A load report without a figure must leave the known figure unchanged."""
     driver = Driver(PROBED, named("a"))
     in_flight(driver, a=9)
-    for nothing in (None, LoadReport(), LoadReport(rate=0.0, utilisation=0.0)):
-        driver.balancer.handle(driver.now, HealthCheckEnded("a", AttemptOutcome.OK, 0.001, nothing))
+    for report in (None, LoadReport(), LoadReport(rate=0.0, utilisation=0.0)):
+        driver.balancer.handle(driver.now, HealthCheckEnded("a", AttemptOutcome.OK, 0.001, report))
         assert not sends(driver.request()[1])
     for outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.REJECTED, AttemptOutcome.NO_CONNECTION):
         driver.balancer.handle(driver.now, HealthCheckEnded("a", outcome, 0.001))
@@ -53,27 +54,29 @@
 
 
 @pytest.mark.parametrize("price", [0.0, 0.002, 0.02, 1.0])
-def test_health_checks_cost_no_more_than_their_part(price: float) -> None:
+def test_health_checks_stay_within_their_share_of_the_cost(price: float) -> None:
     prices, count = Prices(health_check=price), 0
     driver = Driver(replace(PROBED, prices=prices), named("a", "b", "c"))
     for _ in range(2000):
         driver.now += 0.05
         _, actions = driver.request()
         driver.end(sends(actions)[0])
-        for probe in of(actions, SendHealthCheck):
+        for health_check in of(actions, SendHealthCheck):
             count += 1
-            in_flight(driver, **{probe.upstream: 0})
+            in_flight(driver, **{health_check.upstream: 0})
     assert (count - 8) / 2000 * price <= 0.002 and count <= 2000 and (price > 0.1 or count > 100)
 
 
-def test_health_check_that_was_not_sent_is_no_failure() -> None:
+def test_health_check_that_was_not_sent_counts_as_no_failure() -> None:
     driver = Driver(PROBED, named("a", "b", "c"))
     for _ in range(40):
         driver.now += 0.2
         _, actions = driver.request()
-        for probe in of(actions, SendHealthCheck):
-            ended = HealthCheckEnded(probe.upstream, AttemptOutcome.NOT_SENT, 0.001, None)
+        for health_check in of(actions, SendHealthCheck):
+            ended = HealthCheckEnded(health_check.upstream, AttemptOutcome.NOT_SENT, 0.001, None)
             assert not of(driver.balancer.handle(driver.now, ended), LogMessage)
-            assert driver.balancer.learned_figures().upstreams[probe.upstream].consecutive_failures == 0
+            assert (
+                driver.balancer.learned_figures().upstreams[health_check.upstream].consecutive_failures == 0
+            )
         (send,) = sends(actions)
         driver.end(send)
--- a/tests/unit/balancing/test_idle_connections.py
+++ b/tests/unit/balancing/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections."""
+"""Closing of idle connections."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from tests.conftest import Driver, make_members, make_settings, of, sends
 
 
-@pytest.mark.parametrize(("price", "closed"), [(0.1, 5), (0.0, 0)])
-def test_idle_connections_are_closed_only_where_they_have_a_price(price: float, closed: int) -> None:
+@pytest.mark.parametrize(("price", "min_closed"), [(0.1, 5), (0.0, 0)])
+def test_idle_connections_are_closed_only_where_they_have_a_price(price: float, min_closed: int) -> None:
     driver = Driver(make_settings(prices=Prices(connection=price)), make_members(6))
     names = set()
     for _ in range(60):
         send = sends(driver.request()[1])[0]
         names |= {action.upstream for action in of(driver.end(send), CloseIdleConnections)}
-    assert len(names) >= closed and (closed > 0 or not names)
+    assert len(names) >= min_closed and (min_closed > 0 or not names)
--- a/tests/unit/balancing/test_open_requests.py
+++ b/tests/unit/balancing/test_open_requests.py
@@ -25,13 +25,13 @@
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
 
 
-@pytest.mark.parametrize("allowed", [True, False])
-def test_open_attempts_of_a_finished_request_are_cancelled_once(allowed: bool) -> None:
-    driver = Driver(make_settings(limits=Limits(cancellation=allowed)), make_members(2))
+@pytest.mark.parametrize("cancellation", [True, False])
+def test_open_attempts_of_a_finished_request_are_cancelled_once(cancellation: bool) -> None:
+    driver = Driver(make_settings(limits=Limits(cancellation=cancellation)), make_members(2))
     name, actions = driver.request()
     (send,) = sends(actions)
-    wanted = [CancelAttempt(name, 0)] if allowed else []
-    assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == wanted
+    expected = [CancelAttempt(name, 0)] if cancellation else []
+    assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == expected
     assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == []
     assert of(driver.end(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
 
@@ -43,18 +43,18 @@
 def test_attempt_times_out_at_the_objective_where_late_answers_have_no_value(
     settings: ClassSettings, late_weight: float, timeout: float
 ) -> None:
-    """A slow fleet must not work on answers without value, unless a client cannot ask for them again."""
+    """A slow fleet must not work on responses without value, unless the client cannot repeat the request."""
     classes = (replace(settings, late_weight=late_weight),)
     driver = Driver(make_settings(classes=classes, limits=Limits(max_attempts=1)), make_members(2))
     name, actions = driver.request(settings.name, budget=1.5)
     assert sends(actions)[0].timeout == timeout
     driver.now += timeout or 1.5
-    (end,) = driver.end(sends(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5)
-    assert end == (RejectRequest(name) if settings is SAFE else FailRequest(name))
+    (final_answer,) = driver.end(sends(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5)
+    assert final_answer == (RejectRequest(name) if settings is SAFE else FailRequest(name))
 
 
-def test_late_answers_to_requests_that_must_not_be_repeated_are_paid_for_by_timely_ones() -> None:
-    """A fleet that serves everything too late is overloaded, whatever the answers tell their clients."""
+def test_late_responses_to_unsafe_requests_are_limited_by_the_number_of_timely_ones() -> None:
+    """A fleet whose responses are all late is overloaded, even if clients of unsafe requests can use them."""
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(2))
 
     def serve(elapsed: float) -> tuple[list[Any], float]:
@@ -71,7 +71,11 @@
         driver.now -= 0.45
         return logged, found[0].timeout if found else -1.0
 
-    assert [serve(0.6)[1] for _ in range(3)] == [0.0, 0.5, 0.5]  # none is paid for any more
+    assert [serve(0.6)[1] for _ in range(3)] == [
+        0.0,
+        0.5,
+        0.5,
+    ]  # after the first, no token for a late response is left
     for _ in range(110):
         serve(0.1)
     assert serve(0.6)[1] == 0.0
@@ -96,7 +100,7 @@
     assert (upstream.consecutive_failures == 0) is (outcome is AttemptOutcome.OK)
 
 
-def test_streamed_request_that_must_not_be_repeated_is_not_late_at_its_objective() -> None:
+def test_unsafe_request_with_a_started_stream_is_not_late_at_its_objective() -> None:
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(2))
     _, actions = driver.request("pay", budget=1.5)
     (send,) = sends(actions)
@@ -111,16 +115,16 @@
     driver = Driver(make_settings(), ())
     name, actions = driver.request(budget=0.5)
     timer = of(actions, SetTimer)[0]
-    assert not sends(actions) and timer.delay < 0.25  # answered while the client can still go elsewhere
+    assert not sends(actions) and timer.delay < 0.25  # answered while its client can still try elsewhere
     assert [s.id for s in sends(driver.news(make_members(2)))] == [name]
     driver = Driver(make_settings(), ())
     name, actions = driver.request("pay", budget=0.5)
     driver.now += timer.delay
-    late = driver.balancer.handle(driver.now, TimerFired(of(actions, SetTimer)[0].token))
-    assert [r.id for r in of(late, RejectRequest)] == [name]
+    after_wait = driver.balancer.handle(driver.now, TimerFired(of(actions, SetTimer)[0].token))
+    assert [r.id for r in of(after_wait, RejectRequest)] == [name]
 
 
-def test_late_and_unknown_outcomes_are_ignored(driver: Driver) -> None:
+def test_outcomes_of_ended_and_unknown_requests_are_ignored(driver: Driver) -> None:
     _, actions = driver.request()
     send = sends(actions)[0]
     driver.balancer.handle(driver.now, ClientDisconnected(send.id))
--- a/tests/unit/balancing/test_retry_policy.py
+++ b/tests/unit/balancing/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries and hedged attempts."""
+"""Retries and hedged requests."""
 
 from __future__ import annotations
 
@@ -45,16 +45,16 @@
 
 
 def test_retry_budget_runs_out(driver: Driver) -> None:
-    """Retries of every rejected request would cause a retry storm."""
-    further = 0
+    """Retrying every rejected request would cause a retry storm."""
+    retries = 0
     for _ in range(100):
         _, actions = driver.request()
         attempt = 0
         while found := sends(actions):
             actions = driver.end(found[0], AttemptOutcome.REJECTED, attempt)
-            further += attempt > 0
+            retries += attempt > 0
             attempt += 1
-    assert further <= 5
+    assert retries <= 5
 
 
 def test_overdue_attempt_is_hedged(driver: Driver) -> None:
@@ -62,11 +62,11 @@
     name, actions = driver.request()
     timer = of(actions, SetTimer)[0]
     driver.now += timer.delay
-    copy = sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
-    assert [c.id for c in copy] == [name] and copy[0].upstream != sends(actions)[0].upstream
+    hedged = sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
+    assert [h.id for h in hedged] == [name] and hedged[0].upstream != sends(actions)[0].upstream
 
 
-def test_no_hedging_where_forbidden() -> None:
+def test_overdue_attempt_times_out_and_is_retried_where_hedging_is_disabled() -> None:
     limits = Limits(max_attempts=5, hedging=False)
     driver = Driver(make_settings(limits=limits), make_members(6))
     driver.serve(20)
@@ -74,18 +74,18 @@
     first = sends(actions)[0]
     assert 0.0 < first.timeout < 0.5
     driver.now += first.timeout
-    again = sends(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
-    assert again and again[0].upstream != first.upstream
+    retried = sends(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
+    assert retried and retried[0].upstream != first.upstream
 
 
 def test_retries_avoid_warming_upstreams() -> None:
-    cold = [replace(m, started=1000.0) for m in make_members(6)[1:]]
-    driver = Driver(make_settings(), (make_members(6)[0], *cold))
+    warming = [replace(m, started=1000.0) for m in make_members(6)[1:]]
+    driver = Driver(make_settings(), (make_members(6)[0], *warming))
     for _ in range(30):
         _, actions = driver.request()
         for send in sends(actions):
-            for again in sends(driver.end(send, AttemptOutcome.REJECTED)):
-                assert again.upstream == make_members(6)[0].id
+            for retried in sends(driver.end(send, AttemptOutcome.REJECTED)):
+                assert retried.upstream == make_members(6)[0].id
 
 
 def test_started_stream_is_not_hedged() -> None:
