--- a/tests/unit/balancing/test_attempt_timeouts.py
+++ b/tests/unit/balancing/test_attempt_timeouts.py
@@ -20,7 +20,7 @@
 from indigokeel.balancing.settings import Limits
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings
 
-HEADER_RESOLUTION_S = 0.001  # of the header in which an attempt states its time limit
+HEADER_RESOLUTION_S = 0.001  # resolution of the header that states the time limit of an attempt
 OBJECTIVE_S = 12.0
 CLASSES = tuple(
     replace(cls, latency_objective=OBJECTIVE_S, deadline=30.0, idempotency_window=20.0)
--- a/tests/unit/balancing/test_open_requests.py
+++ b/tests/unit/balancing/test_open_requests.py
@@ -71,11 +71,8 @@
         driver.now -= 0.45
         return logged, found[0].timeout if found else -1.0
 
-    assert [serve(0.6)[1] for _ in range(3)] == [
-        0.0,
-        0.5,
-        0.5,
-    ]  # after the first, no token for a late response is left
+    # After the first request, no token for a late response is left.
+    assert [serve(0.6)[1] for _ in range(3)] == [0.0, 0.5, 0.5]
     for _ in range(110):
         serve(0.1)
     assert serve(0.6)[1] == 0.0
