--- a/indigokeel/balancing/upstream_weights.py
+++ b/indigokeel/balancing/upstream_weights.py
@@ -1,4 +1,4 @@
-"""The weight of an upstream in a choice, apart from its reported rate."""
+"""The weight of an upstream in a choice, before its reported rate is taken into account."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from indigokeel.balancing.settings import Settings
 from indigokeel.balancing.upstream_state import UpstreamState
 
-WEIGHT_VALIDITY_S = 0.25  # without a change of the upstream
-OVERDUE_WEIGHT_RATIO = 0.1  # of the weight of an upstream with an overdue attempt
-SAME_ZONE_WEIGHT_RATIO = 1.5  # where cross-zone requests have a price
+WEIGHT_VALIDITY_S = 0.25  # how long a weight stays valid if the upstream does not change
+OVERDUE_WEIGHT_RATIO = 0.1  # weight factor of an upstream with an overdue attempt
+SAME_ZONE_WEIGHT_RATIO = 1.5  # weight factor in the sidecar's zone, where cross-zone requests have a price
 
 
 class UpstreamWeights:
@@ -25,14 +25,14 @@
         self._preferred_zone = settings.zone if settings.prices.cross_zone > 0.0 else None
 
     def update(self, now: float, upstream: UpstreamState) -> None:
-        """Compute the figures of selection of an upstream."""
+        """Compute the weight of an upstream and the figures it is derived from."""
         upstream.average_reports(now)
         upstream.relative_capacity = self._capacities.relative_capacity(upstream)
         started = upstream.member.started
         upstream.warm_up_weight = slow_start.warm_up_weight(self._safety, started, now)
         weight = upstream.relative_capacity * upstream.warm_up_weight / upstream.slowness(now)
         if upstream.overdue_attempts:
-            # A hanging upstream reports no load; only the age of own attempts shows it.
+            # An upstream that hangs sends no load reports; only the age of open attempts reveals the hang.
             weight *= OVERDUE_WEIGHT_RATIO
         if upstream.member.zone == self._preferred_zone:
             weight *= SAME_ZONE_WEIGHT_RATIO
