--- a/indigokeel/balancing/rejection_sampling.py
+++ b/indigokeel/balancing/rejection_sampling.py
@@ -1,7 +1,8 @@
-"""The weighted choice from a large subset, by rejection sampling.
+"""Weighted choice from a large subset, by rejection sampling.
 
-An upstream is sampled uniformly and accepted with the ratio of its weight to the largest possible weight, so
-the odds are those of the weighted choice among all, without computing every weight.
+An upstream is sampled uniformly and accepted with a probability equal to the ratio of its weight to the
+largest possible weight. The odds are those of the weighted choice among all members, without computing every
+weight.
 """
 
 from __future__ import annotations
@@ -13,16 +14,17 @@
 from indigokeel.balancing.subsetting import Subset
 from indigokeel.balancing.upstream_state import UpstreamState
 from indigokeel.balancing.warm_up_admission import WarmUpAdmission
-from indigokeel.balancing.weighted_selection import WeightedSelection, is_fallback
+from indigokeel.balancing.weighted_selection import WeightedSelection, too_few_available
 
-MAX_SAMPLES = 64  # rejected in a row, before all weights are computed after all
-WARM_SAMPLE_SIZE = 32  # upstreams that the weight of a warming-up one is compared with
-STALENESS_S = 2.0  # accepted for a warm upstream's weight, as changes and expired reports update it anyway
-MIN_WEIGHT_SUM = 1e-9
+MAX_SAMPLES = 64  # rejected samples after which one choice computes all weights instead
+WARM_SAMPLE_SIZE = 32  # random members whose warm ones limit the weight of a warming-up upstream
+# A warm upstream's weight may be outdated by this time: changes and expired load reports update it anyway.
+MAX_STALENESS_S = 2.0
+MIN_WEIGHT_SUM = 1e-9  # prevents a division by zero
 
 
 class _Population:
-    """The members of the index that one choice samples from, and the means that weights rest on."""
+    """The index members that one choice samples from, and the means that their weights are based on."""
 
     __slots__ = ("_available", "_busy", "fallback", "mean_open_attempts", "mean_rate", "size", "weight_sum")
 
@@ -30,7 +32,7 @@
         available = self._available = index.available
         busy = self._busy = index.busy
         warm_count = available.warm_count + busy.warm_count
-        self.fallback = not available.members or is_fallback(available.warm_count, warm_count)
+        self.fallback = not available.members or too_few_available(available.warm_count, warm_count)
         if self.fallback:
             self.mean_rate = 0.0
             self.size = len(available.members) + len(busy.members)
@@ -45,17 +47,17 @@
         self.mean_open_attempts = open_attempts / self.weight_sum + 1.0
 
     def sample(self, random: Random) -> UpstreamState:
-        """Return a uniformly sampled upstream."""
+        """Return a member sampled uniformly."""
         position = int(random.random() * self.size)
         members = self._available.members
         return members[position] if position < len(members) else self._busy.members[position - len(members)]
 
     def update_size(self) -> None:
-        """Take into account that a sampled upstream turned out to be busy."""
+        """Recompute the number of available members after a sampled one turned out to be busy."""
         self.size = len(self._available.members)
 
     def weight_by_rate(self, upstream: UpstreamState) -> float:
-        """Return the weight of an upstream by 1 / (rate + mean rate)."""
+        """Return the weight of an upstream, scaled by 1 / (rate + mean rate)."""
         mean = self.mean_rate
         if mean <= 0.0:
             return upstream.weight
@@ -74,7 +76,7 @@
         subset: Subset,
         random: Random,
     ) -> None:
-        """Create a sampler; ``selection`` chooses among the ``subset`` where sampling keeps rejecting."""
+        """Create a sampler; ``selection`` chooses from ``subset`` if too many samples are rejected."""
         self._index = index
         self._warm_up = warm_up
         self._selection = selection
@@ -82,11 +84,11 @@
         self._random = random
 
     def has_members(self) -> bool:
-        """Return whether the subset is so large that the index is filled."""
+        """Return whether the index has members, which it has only if the subset is large."""
         return len(self._index) > 0
 
     def choose(self, now: float) -> UpstreamState | None:
-        """Return an upstream, or None if all are warming up and to be spared."""
+        """Return an upstream, or None if all are warming up and the limit is reached."""
         index = self._index
         random = self._random
         index.refresh(now)
@@ -128,5 +130,5 @@
 
 
 def _is_stale(now: float, upstream: UpstreamState) -> bool:
-    tolerance = STALENESS_S if upstream.warm_up_weight >= 1.0 and not upstream.overdue_attempts else 0.0
+    tolerance = MAX_STALENESS_S if upstream.warm_up_weight >= 1.0 and not upstream.overdue_attempts else 0.0
     return now >= upstream.weight_valid_until + tolerance
--- a/indigokeel/balancing/selection_index.py
+++ b/indigokeel/balancing/selection_index.py
@@ -1,9 +1,9 @@
 """An index over many upstreams: lists to sample from, with the sums that a weighted choice needs.
 
-Each member is in one of two partitions, available or busy. The sums of a partition are kept in whole
-multiples of 2**-32 as members come, change and go, so they are exact and no rounding error accumulates. A
-member's weight is computed anew when it was marked as changed, when its oldest load report expires, or on
-request.
+Each member is in one of two partitions, available or busy. The sums of a partition are updated whenever a
+member is added, changed or removed. They are kept as integers in units of 2**-32, so they are exact and no
+rounding error accumulates. A member's weight is recomputed when the member was marked as changed, when its
+oldest load report expires, or on request.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Partition:
-    """The members of one partition, in a list that can be sampled, and their sums."""
+    """The members of one partition, as a list to sample from, and the sums over them."""
 
     __slots__ = ("_rate_sum", "_weight_sum", "members", "open_attempts", "reporting_count", "warm_count")
 
@@ -31,20 +31,20 @@
         self.open_attempts = 0
 
     def mean_rate(self) -> float:
-        """Return the mean rate by relative capacity of the reporting members, or 0.0 without any."""
+        """Return the mean of rate / relative capacity over the reporting members, or 0.0 without any."""
         return self._rate_sum / _FIXED_POINT_UNIT / self.reporting_count if self.reporting_count else 0.0
 
     def weight_sum(self) -> float:
         """Return the sum of the members' weights."""
         return self._weight_sum / _FIXED_POINT_UNIT
 
-    def add(self, term: _Contribution, sign: int) -> None:
+    def add(self, contribution: _Contribution, sign: int) -> None:
         """Add (1) or subtract (-1) the contribution of one member to the sums."""
-        self._rate_sum += sign * term.rate
-        self._weight_sum += sign * term.weight
-        self.reporting_count += sign * term.reporting
-        self.warm_count += sign * term.warm
-        self.open_attempts += sign * term.open_attempts
+        self._rate_sum += sign * contribution.rate
+        self._weight_sum += sign * contribution.weight
+        self.reporting_count += sign * contribution.reporting
+        self.warm_count += sign * contribution.warm
+        self.open_attempts += sign * contribution.open_attempts
 
 
 class _Contribution:
@@ -62,7 +62,7 @@
         self.open_attempts = 0
 
     def copy_from(self, upstream: UpstreamState) -> None:
-        """Take the present figures of an upstream."""
+        """Copy the current figures of an upstream."""
         self.reporting = int(upstream.rate >= 0.0)
         if self.reporting:
             self.rate = int(upstream.rate / upstream.relative_capacity * _FIXED_POINT_UNIT)
@@ -74,19 +74,21 @@
 
 
 class SelectionIndex:
-    """A set of upstreams, prepared for weighted sampling."""
+    """A set of upstreams that weighted sampling can choose from."""
 
     def __init__(
         self, update_weight: Callable[[float, UpstreamState], None], busy_utilisation: float
     ) -> None:
         """Create an empty index.
 
-        ``update_weight`` brings the figures of an upstream up to date; over ``busy_utilisation`` it is busy.
+        ``update_weight`` recomputes the weight of an upstream and the figures it is derived from. An upstream
+        with a utilisation above ``busy_utilisation`` is busy.
         """
         self._update_weight = update_weight
         self._busy_utilisation = busy_utilisation
         self._contributions: dict[UpstreamState, _Contribution] = {}
-        self._expiries: list[tuple[float, int, UpstreamState]] = []  # a heap of next report expiries
+        # A heap of the members, by the time at which the oldest load report of each expires.
+        self._expiries: list[tuple[float, int, UpstreamState]] = []
         self._in_expiries: set[UpstreamState] = set()
         self._serial = count()
         self._changed: dict[UpstreamState, None] = {}
@@ -116,9 +118,9 @@
         self.max_weight = max((u.weight for u in self._contributions), default=0.0)
 
     def refresh(self, now: float) -> None:
-        """Update the members that changed and those with an expired report, each once.
+        """Update, once each, the members that changed and those with an expired load report.
 
-        What an update changes or schedules is left for the next refresh.
+        Changes and expiries that these updates cause are left for the next refresh.
         """
         for upstream in self._take_changed():
             self.update(now, upstream)
@@ -127,7 +129,7 @@
                 self.update(now, upstream)
 
     def update(self, now: float, upstream: UpstreamState) -> None:
-        """Compute the weight of a member anew and move it to the partition it belongs to."""
+        """Recompute the weight of a member and move it to the partition it belongs to."""
         self._update_weight(now, upstream)
         contribution = self._contributions[upstream]
         partition = self._partition_of(upstream)
@@ -148,11 +150,11 @@
         return self._contributions[upstream].partition is self.available
 
     def mark_changed(self, upstream: UpstreamState) -> None:
-        """Have a member updated with the next refresh."""
+        """Schedule an update of a member for the next refresh."""
         self._changed[upstream] = None
 
     def add_open_attempts(self, upstream: UpstreamState, change: int) -> None:
-        """Count attempts on a member that began or ended."""
+        """Add the change in the number of attempts that are open on a member."""
         contribution = self._contributions[upstream]
         contribution.open_attempts += change
         contribution.partition.open_attempts += change
--- a/indigokeel/balancing/weighted_choice.py
+++ b/indigokeel/balancing/weighted_choice.py
@@ -1,4 +1,4 @@
-"""Choices among weighted entries, by a random number or by a key that every process maps alike."""
+"""Choices among weighted entries, by a random number or by a key that all processes map alike."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def choose_at(entries: Sequence[HashedT], weights: Iterable[float], position: float) -> HashedT:
-    """Return the entry at ``position`` (0 to 1) of the cumulative weights."""
+    """Return the entry at ``position``, a fraction (0 to 1) of the sum of weights."""
     ends = list(accumulate(weights))
     return entries[bisect_right(ends, position * ends[-1], 0, len(ends) - 1)]
 
@@ -31,8 +31,8 @@
 def choose_by_key(entries: Sequence[HashedT], weights: Iterable[float], key: int) -> HashedT:
     """Return an entry by weighted rendezvous hashing.
 
-    The odds over many keys are those of the weights, and processes with similar weights choose the same entry
-    for a key.
+    Over many keys, entries are chosen in proportion to their weights. For a given key, processes with similar
+    weights choose the same entry.
     """
     best = entries[0]
     best_score = math.inf
@@ -47,7 +47,7 @@
 def van_der_corput(number: int) -> float:
     """Return an element of the base-2 van der Corput sequence.
 
-    The first 2**k elements lie evenly spaced in the interval from 0 to 1.
+    The first 2**k elements are evenly spaced in the interval from 0 to 1.
     """
     value = 0.0
     unit = 0.5
