--- a/indigokeel/balancing/upstream_registry.py
+++ b/indigokeel/balancing/upstream_registry.py
@@ -1,4 +1,4 @@
-"""The upstreams that discovery lists, and the order that subsets are cut from."""
+"""The upstreams of the endpoint list, and the order that subsets are taken from."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from indigokeel.balancing.zone_ordered_set import ZoneOrderedSet
 
 ORDER_HASH_SEED = 0x5851F42D4C957F2D
-MIN_SUBSET_SIZE = 20  # upstreams that a quiet sidecar uses, so that it has a choice when some are bad
-MIN_SCALE = 1e-6  # of an upstream, as discovery states it
+MIN_SUBSET_SIZE = 20  # upstreams used by a sidecar with little traffic, as alternatives when some fail
+MIN_SCALE = 1e-6  # lower bound of the scale that the endpoint list states for an upstream
 
 
 class UpstreamRegistry:
-    """All known upstreams, and those that serve, in subset order and by replica group."""
+    """All known upstreams, and the serving ones in subset order and by replica group."""
 
     def __init__(self, settings: Settings, capacities: CapacityEstimates) -> None:
         self._capacities = capacities
@@ -34,7 +34,7 @@
         self._settings = settings
 
     def apply_update(self, now: float, update: MembershipUpdate) -> None:
-        """Apply a change or a whole list; upstreams that a whole list lacks are removed."""
+        """Apply a change or a full list; upstreams that are missing from a full list are removed."""
         if update.kind is not UpdateKind.DELTA:
             listed = {member.id for member in update.members}
             for absent in [name for name in self.upstreams if name not in listed]:
@@ -44,19 +44,19 @@
         self._ordered = None
 
     def serving_count(self) -> int:
-        """Return the number of upstreams that serve."""
+        """Return the number of serving upstreams."""
         return len(self._serving)
 
     def iterate_serving(self) -> Iterator[UpstreamState]:
         """Iterate over the serving upstreams in subset order.
 
-        The order is the same at every sidecar, and each begins at one of a few positions in it, so that
-        sidecars share the upstreams that a key is routed to.
+        All sidecars use the same order, and each starts at one of a few positions in it. Sidecars thus share
+        the upstreams that a key is routed to.
         """
         return self._serving.iterate_from(self._subset_position())
 
     def all_serving(self) -> list[UpstreamState]:
-        """Return the serving upstreams in subset order; the list is built once after each change."""
+        """Return the serving upstreams in subset order; the list is cached until the next change."""
         if self._ordered is None:
             self._ordered = list(self.iterate_serving())
             self._replica_groups = {}
@@ -65,7 +65,7 @@
         return self._ordered
 
     def serving_in_group(self, replica_group: int) -> list[UpstreamState] | None:
-        """Return the serving upstreams of a replica group, or None if there are none."""
+        """Return the serving upstreams of a replica group, or None if the group has none."""
         self.all_serving()
         return self._replica_groups.get(replica_group)
 
@@ -77,7 +77,7 @@
             self.upstreams.pop(member.id, None)
             return
         if upstream is None or upstream.member.started != member.started:
-            # New, or restarted: nothing that was learned holds any more.
+            # The upstream is new or was restarted: what was learned about it no longer holds.
             upstream = UpstreamState(member, self._capacities.of_group(member))
             self.upstreams[member.id] = upstream
         upstream.member = member
@@ -90,10 +90,10 @@
         self._serving.discard(upstream.member.zone, _rank(upstream), upstream.member.id)
 
     def _subset_position(self) -> float:
-        """Return where in the order this sidecar's subset begins, from 0 to 1.
+        """Return the position in the order, from 0 to 1, at which this sidecar's subset begins.
 
-        There are as many positions, evenly spaced, as it takes for the smallest subsets to cover all
-        upstreams; a power of two, so that positions stay the same while the fleet changes.
+        The possible positions are evenly spaced, and just enough for subsets of the minimum size to cover all
+        upstreams. Their number is a power of two, so that they stay the same while the fleet changes.
         """
         positions = 1
         while positions * MIN_SUBSET_SIZE < len(self._serving):
--- a/indigokeel/balancing/upstream_selection.py
+++ b/indigokeel/balancing/upstream_selection.py
@@ -1,4 +1,4 @@
-"""Which upstream an attempt of a request is sent to (docs/design.md)."""
+"""Selection of the upstream for each attempt of a request (docs/design.md)."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
 from indigokeel.balancing.upstream_state import REPORT_WINDOW_S, UpstreamState
 from indigokeel.balancing.weighted_selection import WeightedSelection
 
-RETRY_SAMPLE_SIZE = 32  # upstreams of a large pool that a further attempt is chosen from
-IN_FLIGHT_TIME_RATIO = 0.5  # of the time left, that the requests held by an upstream may take
-MAX_REFUSED_IN_A_ROW = 20  # of a class, for want of capacity; the next request shows its present latency
-MIN_IN_FLIGHT_LIMIT = 2.0  # requests that an upstream may hold, however little time is left
+RETRY_SAMPLE_SIZE = 32  # random candidates for a further attempt, where the pool is larger
+# Share of a request's remaining time that the requests in flight at an upstream may take.
+IN_FLIGHT_TIME_RATIO = 0.5
+# Consecutive requests of a class that are rejected for lack of capacity. The next one is sent all the same,
+# to measure the current latency of the class.
+MAX_CONSECUTIVE_REJECTIONS = 20
+MIN_IN_FLIGHT_LIMIT = 2.0  # requests that may be in flight at an upstream, however little time is left
 
 
 class UpstreamSelector:
@@ -43,12 +46,12 @@
         self._safety = settings.safety
 
     def select(self, now: float, request: RequestState) -> UpstreamState | None:
-        """Return an upstream for the next attempt, or None if none may get it."""
+        """Return an upstream for the next attempt, or None if no upstream may receive it."""
         if request.attempts:
-            return self._select_further(now, request)
-        return self._select_first(now, request)
+            return self._select_for_further_attempt(now, request)
+        return self._select_for_first_attempt(now, request)
 
-    def _select_first(self, now: float, request: RequestState) -> UpstreamState | None:
+    def _select_for_first_attempt(self, now: float, request: RequestState) -> UpstreamState | None:
         key = request.key
         pool = self._subset.key_window(now, key) if key else self._subset.refresh(now)
         usable = [u for u in pool if u.ejected_until <= now] or self._registry.all_serving()
@@ -64,20 +67,20 @@
         if with_capacity:
             return self._selection.choose(now, with_capacity, key)
         request.class_statistics.refused_in_a_row += 1
-        return upstream if request.class_statistics.refused_in_a_row > MAX_REFUSED_IN_A_ROW else None
+        return upstream if request.class_statistics.refused_in_a_row > MAX_CONSECUTIVE_REJECTIONS else None
 
-    def _select_further(self, now: float, request: RequestState) -> UpstreamState | None:
-        """Select an upstream that was not tried, and none that is warming up.
+    def _select_for_further_attempt(self, now: float, request: RequestState) -> UpstreamState | None:
+        """Select an upstream that this request has not tried and that is not warming up.
 
-        Failures of the warm ones must not be redirected to those with the least capacity.
+        Requests that failed on warm upstreams must not be redirected to those with the least capacity.
         """
         pool = self._retry_pool(now, request)
         if len(pool) > RETRY_SAMPLE_SIZE:
             sampled = self._random.sample(pool, RETRY_SAMPLE_SIZE)
-            usable = [u for u in sampled if self._accepts_further(now, u, request)]
+            usable = [u for u in sampled if self._may_get_further_attempt(now, u, request)]
             if usable:
                 return self._selection.choose(now, usable, request.key)
-        usable = [u for u in pool if self._accepts_further(now, u, request)]
+        usable = [u for u in pool if self._may_get_further_attempt(now, u, request)]
         return self._selection.choose(now, usable, request.key) if usable else None
 
     def _retry_pool(self, now: float, request: RequestState) -> list[UpstreamState]:
@@ -89,7 +92,7 @@
         group = self._registry.serving_in_group(request.attempts[0].upstream.member.replica_group)
         return pool if group is None else group
 
-    def _accepts_further(self, now: float, upstream: UpstreamState, request: RequestState) -> bool:
+    def _may_get_further_attempt(self, now: float, upstream: UpstreamState, request: RequestState) -> bool:
         return (
             all(attempt.upstream is not upstream for attempt in request.attempts)
             and retry_policy.deduplicates(request, upstream.member)
@@ -100,9 +103,9 @@
 
 
 def _has_capacity(now: float, upstream: UpstreamState, request: RequestState) -> bool:
-    """Return whether an upstream holds so few requests that one more is answered in time.
+    """Return whether so few requests are in flight at an upstream that one more is served in time.
 
-    They are those of its last report and the own attempts since.
+    Those are the requests of other sidecars, as of its last load report, and this sidecar's open attempts.
     """
     if now - upstream.load_reported_at > REPORT_WINDOW_S:
         return True
