--- a/indigokeel/balancing/in_flight_penalty.py
+++ b/indigokeel/balancing/in_flight_penalty.py
@@ -1,18 +1,21 @@
-"""A penalty on upstreams that hold far more of the own open attempts than their part.
+"""A penalty on upstreams with far more than their share of this sidecar's open attempts.
 
-Load reports are old and averaged: until they show a queue, every choice would make it longer.
+Load reports are delayed and averaged: until they show a queue, the upstream would keep being chosen, and its
+queue would grow.
 """
 
 from __future__ import annotations
 
 from indigokeel.balancing.upstream_state import UpstreamState
 
-PENALTY_THRESHOLD_RATIO = 2.0  # of its part of the open attempts; below, keys must stay where they are cached
+# The penalty applies above this multiple of an upstream's share of the open attempts. Below it, keys must
+# stay on the upstreams that have them cached.
+PENALTY_THRESHOLD_RATIO = 2.0
 PENALTY_EXPONENT = 4.0
 
 
 def penalise_in_flight(upstreams: list[UpstreamState], weights: list[float]) -> None:
-    """Reduce, in place, the weights of upstreams over their part of the open attempts."""
+    """Reduce, in place, the weights of upstreams that exceed their share of the open attempts."""
     open_attempts = sum([u.open_attempts for u in upstreams])
     mean_by_weight = open_attempts / sum([u.weight for u in upstreams]) + 1.0
     for i, upstream in enumerate(upstreams):
@@ -23,6 +26,9 @@
 
 
 def penalty(upstream: UpstreamState, mean_by_weight: float) -> float:
-    """Return the factor, at most 1, for an upstream; ``mean_by_weight`` is the mean of open attempts."""
+    """Return the weight factor of an upstream, at most 1.
+
+    ``mean_by_weight`` is the mean number of open attempts per unit of weight.
+    """
     excess = upstream.open_attempts / (mean_by_weight * upstream.weight * PENALTY_THRESHOLD_RATIO)
     return excess**-PENALTY_EXPONENT if excess > 1.0 else 1.0
--- a/indigokeel/balancing/subsetting.py
+++ b/indigokeel/balancing/subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: each sidecar uses a stable part of the fleet, large enough for its traffic."""
+"""Subsetting: each sidecar uses a stable subset of the fleet, large enough for its traffic."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from indigokeel.balancing.upstream_state import UpstreamState
 from indigokeel.balancing.warm_up_admission import WarmUpAdmission
 
-TRAFFIC_PER_SUBSET_S = 1.0  # a subset has one upstream for each request in this time
-SUBSET_VALIDITY_S = 0.25  # without a change of the fleet
-MAX_SCANNED_UPSTREAMS = 16  # a larger subset is sampled through the selection index
-KEY_WINDOW_SIZE = 20  # upstreams considered for a key
-HOT_KEY_SPREAD = 2.0  # more upstreams for a key with the traffic of one
+TRAFFIC_PER_SUBSET_S = 1.0  # a subset has one upstream for each request that arrives in this time
+SUBSET_VALIDITY_S = 0.25  # how long a subset is kept if it is not invalidated
+MAX_SCANNED_UPSTREAMS = 16  # larger subsets are sampled by means of the selection index
+KEY_WINDOW_SIZE = 20  # upstreams that are candidates for a key
+HOT_KEY_SPREAD = 2.0  # additional virtual keys per upstream's worth of traffic that a key has
 MAX_COUNTED_KEYS = 500
 
 
 class Subset:
-    """The upstreams that this sidecar uses; ejected ones are replaced by the next in order."""
+    """The upstreams that this sidecar uses; ejected ones are replaced by the next ones in subset order."""
 
     def __init__(
         self,
@@ -33,27 +33,27 @@
         warm_up: WarmUpAdmission,
         index: SelectionIndex,
     ) -> None:
-        """``index`` is kept filled with a large subset, and empty otherwise."""
+        """``index`` holds the members of a large subset; it is kept empty while the subset is small."""
         self._registry = registry
         self._traffic = traffic
         self._warm_up = warm_up
         self._index = index
         self.members: list[UpstreamState] = []  # as of the last refresh
-        self._ring: list[UpstreamState] = []  # the same, by hash
+        self._ring: list[UpstreamState] = []  # the same members, sorted by name hash
         self._ring_hashes: list[int] = []
         self._valid_until = -math.inf
 
     def invalidate(self) -> None:
-        """Have the subset chosen anew before its next use."""
+        """Have the subset rebuilt before its next use."""
         self._valid_until = -math.inf
 
     def refresh(self, now: float) -> list[UpstreamState]:
-        """Choose the subset anew if it has expired, and return it."""
+        """Rebuild the subset if it has expired, and return it."""
         if now >= self._valid_until:
-            self._choose(now)
+            self._rebuild(now)
         return self.members
 
-    def _choose(self, now: float) -> None:
+    def _rebuild(self, now: float) -> None:
         size = max(MIN_SUBSET_SIZE, int(self._traffic.arrivals_per_s(now) * TRAFFIC_PER_SUBSET_S))
         usable = (u for u in self._registry.iterate_serving() if u.ejected_until <= now)
         self.members = list(islice(usable, size))
@@ -78,7 +78,7 @@
 
 
 class HotKeySpreader:
-    """Spreads a frequent key over several upstreams, so that it overloads none."""
+    """Spreads a hot key over several upstreams, so that it overloads none of them."""
 
     def __init__(self, subset: Subset, random: Random) -> None:
         self._subset = subset
@@ -86,7 +86,7 @@
         self.key_counts = FrequencyCounter(MAX_COUNTED_KEYS)
 
     def spread(self, key: int) -> int:
-        """Count a key and return one of the virtual keys that stand for it."""
+        """Count a request with this key, and return one of the virtual keys that replace it."""
         share = self.key_counts.share(key)
         self.key_counts.count(key)
         virtual_keys = 1 + int(share * self._subset.ring_size() * HOT_KEY_SPREAD)
