--- a/indigokeel/balancing/hashing.py
+++ b/indigokeel/balancing/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are the same in every process, unlike the built-in one."""
+"""Hash functions with the same results in every process, unlike the built-in one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def mix64(a: int, b: int) -> int:
-    """Return a 64-bit hash of two 64-bit numbers (the finaliser of splitmix64)."""
+    """Return a 64-bit hash of two 64-bit integers, by the finaliser of splitmix64."""
     h = ((a ^ b) * 0x9E3779B97F4A7C15) & UINT64_MAX
     h = ((h ^ (h >> 30)) * 0xBF58476D1CE4E5B9) & UINT64_MAX
     h = ((h ^ (h >> 27)) * 0x94D049BB133111EB) & UINT64_MAX
--- a/indigokeel/balancing/learned_figures.py
+++ b/indigokeel/balancing/learned_figures.py
@@ -1,4 +1,4 @@
-"""What a balancer has learned, for the next process of the same sidecar."""
+"""What a balancer has learned, to be passed on to the next process of the same sidecar."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedFigures:
-    """The live figures of a balancer: reading them exports, changing them restores what was learned."""
+    """References to live state of a balancer: read to export what it has learned, changed to restore it."""
 
     classes: dict[str, ClassStatistics]
     upstreams: dict[str, UpstreamState]
--- a/indigokeel/balancing/statistics.py
+++ b/indigokeel/balancing/statistics.py
@@ -1,18 +1,18 @@
-"""Running statistics: decaying sums, shrunken means, key frequencies and exact sums over a time window."""
+"""Running statistics: decaying sums, shrinkage estimates, key frequencies and sliding windows."""
 
 from __future__ import annotations
 
 import math
 from collections import deque
 
-PRIOR_SAMPLES = 2.0  # samples that the parent's mean counts for
-FREQUENCY_PRIOR = 10.0  # observations of other keys assumed before any was counted
+PRIOR_SAMPLES = 2.0  # samples that the parent's estimate counts for
+PRIOR_OBSERVATIONS = 10.0  # of other keys, assumed to precede those that are counted
 
 _FIXED_POINT_UNIT = float(1 << 40)
 
 
 class DecayingSum:
-    """A sum whose terms lose their weight exponentially."""
+    """A sum whose terms decay exponentially with time."""
 
     __slots__ = ("_sum", "_updated_at", "time_constant_s")
 
@@ -34,22 +34,22 @@
         return self._sum * math.exp((self._updated_at - now) / self.time_constant_s) if self._sum else 0.0
 
     def state(self) -> tuple[float, float]:
-        """Return the sum and the clock time it is valid at."""
+        """Return the sum and the clock time at which it had this value."""
         return self._sum, self._updated_at
 
     def restore(self, total: float, at: float) -> None:
-        """Replace the sum by one that is valid at clock time ``at``."""
+        """Replace the sum by ``total`` as of clock time ``at``."""
         self._sum = total
         self._updated_at = at
 
 
 class ShrinkageEstimate:
-    """A running mean that is drawn to its parent's while it rests on few samples."""
+    """A running mean that is shrunk towards its parent's while it is based on few samples."""
 
     __slots__ = ("__weakref__", "_count", "_mean", "_min_step", "_parent")
 
     def __init__(self, parent: ShrinkageEstimate | None, min_step: float) -> None:
-        """``min_step`` is the least weight of a new sample; older ones are forgotten at that rate."""
+        """``min_step`` is the minimum weight of a new sample; older samples decay at that rate."""
         self._parent = parent
         self._min_step = min_step
         self._count = 0.0
@@ -63,14 +63,14 @@
             self._parent.add(value)
 
     def value(self) -> float:
-        """Return the estimate, or 0.0 without any sample."""
+        """Return the estimate, or 0.0 if there are no samples."""
         if self._parent is None:
             return self._mean
         weight = min(self._count, 1.0 / self._min_step)
         return (weight * self._mean + PRIOR_SAMPLES * self._parent.value()) / (weight + PRIOR_SAMPLES)
 
     def state(self) -> tuple[float, float]:
-        """Return the number of samples and their own mean."""
+        """Return the number of samples and their mean without the parent's."""
         return self._count, self._mean
 
     def restore(self, count: float, mean: float) -> None:
@@ -80,7 +80,7 @@
 
 
 class FrequencyCounter:
-    """Approximate counts of many keys; rare and old ones are dropped."""
+    """Approximate counts of many keys; the counts of rare and old keys are dropped."""
 
     __slots__ = ("_counts", "_max_keys", "_total")
 
@@ -90,8 +90,8 @@
         self._total = 0.0
 
     def share(self, key: int) -> float:
-        """Return the part of all observations that were of this key, from 0 to 1."""
-        return self._counts.get(key, 0.0) / (self._total + FREQUENCY_PRIOR)
+        """Return the share of this key in all observations, from 0 to 1."""
+        return self._counts.get(key, 0.0) / (self._total + PRIOR_OBSERVATIONS)
 
     def count(self, key: int) -> None:
         """Count one observation of a key."""
@@ -113,15 +113,15 @@
 class SlidingWindow:
     """The means of two figures over the last ``span_s`` seconds.
 
-    Each figure is kept in whole multiples of 2**-40: sums of integers are exact in any order, so no rounding
-    error accumulates as samples come and go.
+    Each figure is kept as an integer in units of 2**-40. Sums of integers are exact in any order, so no
+    rounding error accumulates as samples are added and expire.
     """
 
     __slots__ = ("_first_sum", "_samples", "_second_sum", "span_s")
 
     def __init__(self, span_s: float) -> None:
         self.span_s = span_s
-        self._samples: deque[tuple[float, int, int]] = deque()  # the clock time of its expiry first
+        self._samples: deque[tuple[float, int, int]] = deque()  # each with the clock time of its expiry first
         self._first_sum = 0
         self._second_sum = 0
 
@@ -137,7 +137,7 @@
         self._second_sum += fixed_second
 
     def means(self, now: float) -> tuple[float, float] | None:
-        """Drop expired samples and return the two means, or None without a sample."""
+        """Drop expired samples and return the two means, or None if no sample is left."""
         samples = self._samples
         while samples and samples[0][0] < now:
             _, first, second = samples.popleft()
@@ -149,5 +149,5 @@
         return self._first_sum / divisor, self._second_sum / divisor
 
     def next_expiry(self) -> float:
-        """Return the last clock time at which the oldest sample counts; infinite without a sample."""
+        """Return the last clock time at which the oldest sample counts, or infinity without a sample."""
         return self._samples[0][0] if self._samples else math.inf
--- a/indigokeel/balancing/upstream_registry.py
+++ b/indigokeel/balancing/upstream_registry.py
@@ -78,7 +78,7 @@
             return
         if upstream is None or upstream.member.started != member.started:
             # The upstream is new or was restarted: what was learned about it no longer holds.
-            upstream = UpstreamState(member, self._capacities.of_group(member))
+            upstream = UpstreamState(member, self._capacities.group_estimate(member))
             self.upstreams[member.id] = upstream
         upstream.member = member
         upstream.warm_up_weight = slow_start.warm_up_weight(self._settings.safety, member.started, now)
