--- a/tests/unit/balancing/test_outlier_ejection.py
+++ b/tests/unit/balancing/test_outlier_ejection.py
@@ -18,15 +18,15 @@
 def test_failing_upstream_is_ejected_and_returns(driver: Driver) -> None:
     bad = make_members(6)[0].id
     driver.serve(60, {bad: AttemptOutcome.ERROR})
-    log = driver.serve(30, {bad: AttemptOutcome.ERROR})
-    assert log.get(bad, 0) <= 3
+    counts = driver.serve(30, {bad: AttemptOutcome.ERROR})
+    assert counts.get(bad, 0) <= 3
     driver.now += MAX_EJECTION_S + 20.0
     assert driver.serve(60).get(bad, 0) > 0
 
 
 def test_occasional_failures_cause_no_ejection(driver: Driver) -> None:
     """An ejection moves keys to upstreams that do not have them cached, so errors that are common to all
-    upstreams cause none."""
+    upstreams must not cause one."""
     driver.serve(100)
     for _ in range(60):
         _, actions = driver.request("pay")
@@ -36,53 +36,53 @@
 
 
 @pytest.mark.parametrize(("served_since", "ejected"), [(True, False), (False, True)])
-def test_timeouts_of_an_upstream_that_serves_others_cause_no_ejection(
+def test_timeouts_of_an_upstream_that_serves_other_requests_cause_no_ejection(
     driver: Driver, served_since: bool, ejected: bool
 ) -> None:
-    """An overloaded upstream times out, too, but is not to be ejected."""
+    """An overloaded upstream times out as well, but must not be ejected while it serves other requests."""
     driver.serve(100)
     bad = make_members(6)[0].id
     logs = []
     for _ in range(200):
-        stuck, other = sends(driver.request()[1])[0], sends(driver.request()[1])[0]
+        timed_out, other = sends(driver.request()[1])[0], sends(driver.request()[1])[0]
         driver.now += 0.5
         if served_since or other.upstream != bad:
             driver.end(other)
-        outcome = AttemptOutcome.TIMED_OUT if stuck.upstream == bad else AttemptOutcome.OK
-        served = served_since and other.upstream == bad
-        if outcome is AttemptOutcome.OK or served or not served_since:
-            logs += of(driver.end(stuck, outcome, elapsed=0.5), LogMessage)
+        outcome = AttemptOutcome.TIMED_OUT if timed_out.upstream == bad else AttemptOutcome.OK
+        served_other = served_since and other.upstream == bad
+        if outcome is AttemptOutcome.OK or served_other or not served_since:
+            logs += of(driver.end(timed_out, outcome, elapsed=0.5), LogMessage)
     assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is ejected
 
 
 @pytest.mark.parametrize(
     ("outcome", "ends"), [(AttemptOutcome.TIMED_OUT, True), (AttemptOutcome.ERROR, False)]
 )
-def test_ejection_for_timeouts_ends_with_an_answer(
+def test_ejection_for_timeouts_ends_with_a_response(
     driver: Driver, outcome: AttemptOutcome, ends: bool
 ) -> None:
-    """A short pause of an upstream must not remove its capacity for seconds. After errors one answer is not
-    enough."""
+    """A short pause of an upstream must not remove its capacity for seconds. After errors, one response is
+    not enough."""
     driver.serve(100)
     bad = make_members(6)[0].id
-    waiting: list[SendAttempt] = []
+    pending: list[SendAttempt] = []
     driver.now += 0.01
-    while len(waiting) < 12:  # sent while it is silent
+    while len(pending) < 12:  # sent while the upstream is silent
         send = sends(driver.request()[1])[0]
         if send.upstream == bad:
-            waiting.append(send)
+            pending.append(send)
         else:
             driver.end(send)
-    last, logs = waiting.pop(), list[str]()
+    last, logs = pending.pop(), list[str]()
     driver.now += 0.5
-    while waiting and f"ejected {bad}: consecutive failures" not in logs:
-        logs += [log.text for log in of(driver.end(waiting.pop(), outcome, elapsed=0.5), LogMessage)]
+    while pending and f"ejected {bad}: consecutive failures" not in logs:
+        logs += [log.text for log in of(driver.end(pending.pop(), outcome, elapsed=0.5), LogMessage)]
     assert f"ejected {bad}: consecutive failures" in logs
     logs += [log.text for log in of(driver.end(last, elapsed=0.6), LogMessage)]
     assert (f"ejection of {bad} ended: it responds again" in logs) is ends
     driver.now += 0.01
-    got = {sends(driver.request()[1])[0].upstream for _ in range(60)}
-    assert (bad in got) is ends
+    selected = {sends(driver.request()[1])[0].upstream for _ in range(60)}
+    assert (bad in selected) is ends
 
 
 def test_most_of_the_fleet_is_never_ejected(driver: Driver) -> None:
--- a/tests/unit/balancing/test_upstream_selection.py
+++ b/tests/unit/balancing/test_upstream_selection.py
@@ -1,4 +1,4 @@
-"""Upstreams that have capacity for a request."""
+"""Selection of upstreams that have capacity for a request."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 
 
 def test_upstream_without_capacity_gets_no_request() -> None:
-    """The objective is 0.5 s and the initial usual latency 0.125 s: two may be held, of any sidecar."""
+    """At a latency objective of 0.5 s and an initial usual latency of 0.125 s, two requests may be in flight
+    at an upstream, whichever sidecar sent them."""
     for seed in range(20):
         driver = Driver(PROBED, named("a", "b", "c"), seed)
         in_flight(driver, a=9, b=9, c=1)
         _, actions = driver.request()
         (send,) = sends(actions)
         assert send.upstream == "c"
-        _, actions = driver.request()  # by its own attempt since, it holds two now
+        _, actions = driver.request()  # the open attempt makes two requests in flight at "c"
         assert not sends(actions) and [type(action) for action in actions if of([action], RejectRequest)]
-        assert not sends(driver.end(send, AttemptOutcome.ERROR))  # no further attempt where none has capacity
+        # No further attempt is sent while no upstream has capacity.
+        assert not sends(driver.end(send, AttemptOutcome.ERROR))
         in_flight(driver, a=0, b=9, c=9)
         assert driver.serve(1) == {"a": 1}
 
@@ -36,7 +38,7 @@
 
 
 def test_attempts_that_have_not_arrived_do_not_count_as_in_flight() -> None:
-    """While long bodies are under way, their upstream holds no requests yet."""
+    """While long request bodies are being sent, their upstream has no requests in flight yet."""
     driver = Driver(PROBED, named("a"))
     for _ in range(5):
         assert sends(driver.request()[1])
@@ -52,23 +54,25 @@
     assert sends(driver.request()[1])
 
 
-def test_warming_upstreams_do_not_get_the_overflow() -> None:
-    """While the warm upstreams are full, the one that warms up gets its own small part and none of theirs."""
+def test_warming_upstream_does_not_get_the_requests_of_full_ones() -> None:
+    """While the warm upstreams are full, the one that is warming up gets its own small share and none of
+    theirs."""
     driver = Driver(PROBED, (*named("a", "b", "c"), *named("cold", started=1000.0)))
-    got: dict[bool, int] = {}
+    cold_counts: dict[bool, int] = {}
     for full in (False, True):
-        got[full] = 0
+        cold_counts[full] = 0
         for _ in range(600):
             in_flight(driver, a=9.0 * full, b=9.0 * full, c=9.0 * full, cold=0)
             _, actions = driver.request()
             for send in sends(actions):
-                got[full] += send.upstream == "cold"
+                cold_counts[full] += send.upstream == "cold"
                 driver.end(send)
-    assert 0 < got[True] < 1.5 * got[False] < 200
+    assert 0 < cold_counts[True] < 1.5 * cold_counts[False] < 200
 
 
-def test_class_that_is_refused_for_its_learned_latency_learns_the_present_one() -> None:
-    """Guards against refusing a class for good: upstreams that others use answer at once, and nobody asks."""
+def test_class_rejected_for_its_learned_latency_learns_the_current_one() -> None:
+    """Guards against rejecting a class forever: the upstreams respond quickly by now, but the learned latency
+    is still high, and without any attempt it would never be corrected."""
     driver = Driver(PROBED, named("a", "b"))
     driver.balancer.learned_figures().classes["view"].usual_latency_s = 10.0
     served = []
@@ -84,7 +88,7 @@
     assert all(served[-1000:])
 
 
-def test_most_requests_are_refused_while_no_upstream_has_capacity() -> None:
+def test_most_requests_are_rejected_while_no_upstream_has_capacity() -> None:
     driver = Driver(PROBED, named("a", "b"))
     sent = 0
     for _ in range(1000):
--- a/tests/unit/balancing/test_weighted_selection.py
+++ b/tests/unit/balancing/test_weighted_selection.py
@@ -1,4 +1,4 @@
-"""The weighted choice among candidates."""
+"""Weighted choice among candidates."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 def test_lower_rate_is_preferred(driver: Driver) -> None:
     names = [m.id for m in make_members(6)]
     teach(driver, {n: load(40.0 if i < 3 else 10.0, 0.8 if i < 3 else 0.2) for i, n in enumerate(names)})
-    got = picks(driver)
-    assert sum(got.get(n, 0) for n in names[3:]) > 1.3 * sum(got.get(n, 0) for n in names[:3])
+    counts = picks(driver)
+    assert sum(counts.get(n, 0) for n in names[3:]) > 1.3 * sum(counts.get(n, 0) for n in names[:3])
 
 
 def test_slow_upstream_with_a_low_rate_is_not_preferred(driver: Driver) -> None:
-    """The lowest rates are those of servers that can do no more."""
+    """A low rate may mean that the server is slow and has no capacity left."""
     names = [m.id for m in make_members(6)]
     teach(driver, {n: load(8.0, 0.9) if i == 0 else load(30.0, 0.7) for i, n in enumerate(names)})
-    got = picks(driver)
-    assert got.get(names[0], 0) < 600 / 6 * 0.6
+    counts = picks(driver)
+    assert counts.get(names[0], 0) < 600 / 6 * 0.6
 
 
 def test_busy_upstreams_are_filtered_out(driver: Driver) -> None:
     names = [m.id for m in make_members(6)]
     teach(driver, {n: load(20.0, 1.0 if i < 2 else 0.5) for i, n in enumerate(names)})
-    got = picks(driver)
-    assert got.get(names[0], 0) + got.get(names[1], 0) == 0
+    counts = picks(driver)
+    assert counts.get(names[0], 0) + counts.get(names[1], 0) == 0
 
 
-def test_one_or_two_reports_filter_nobody_out() -> None:
-    """With many sidecars each gets a report of an upstream only every few seconds; filtering by one of them
-    would move requests with a key off the upstreams that have it cached."""
+def test_one_or_two_reports_filter_out_no_upstream() -> None:
+    """With many sidecars, each gets a load report of an upstream only every few seconds. Filtering by one
+    report would move requests with a key away from the upstreams that have it cached."""
     names = [m.id for m in make_members(6)]
     for reports, filtered in ((1, False), (2, False), (20, True)):
         driver = Driver(make_settings(), make_members(6))
-        left = dict.fromkeys(names, 20) | {names[0]: reports}
+        reports_left = dict.fromkeys(names, 20) | {names[0]: reports}
         for _ in range(600):
-            driver.now += 0.004  # all of it within the time that reports are averaged over
+            driver.now += 0.004  # all requests within the time over which reports are averaged
             _, actions = driver.request()
             send = sends(actions)[0]
-            left[send.upstream] -= 1
-            busy = 0.99 if send.upstream == names[0] else 0.6
-            driver.end(send, load=load(20.0, busy) if left[send.upstream] >= 0 else None)
+            reports_left[send.upstream] -= 1
+            utilisation = 0.99 if send.upstream == names[0] else 0.6
+            driver.end(send, load=load(20.0, utilisation) if reports_left[send.upstream] >= 0 else None)
         assert (names[0] not in picks(driver)) == filtered
 
 
@@ -62,12 +62,12 @@
 def test_upstream_without_reports_gets_the_average_weight(driver: Driver) -> None:
     names = [m.id for m in make_members(6)]
     teach(driver, {n: load(20.0, 0.5) for n in names[:5]})
-    got = picks(driver, 1200)
-    assert 120 < got[names[5]] < 290
+    counts = picks(driver, 1200)
+    assert 120 < counts[names[5]] < 290
 
 
 def test_overdue_attempt_reduces_the_weight(driver: Driver) -> None:
-    """A hang reports nothing: only the age of own attempts tells."""
+    """An upstream that hangs sends no load reports; only the age of open attempts reveals the hang."""
     driver.serve(20)
     _, actions = driver.request("pay")
     hung = sends(actions)[0].upstream
@@ -78,38 +78,38 @@
 
 
 def test_many_open_attempts_reduce_the_weight(driver: Driver) -> None:
-    """Reports are old: what is out already tells of a queue sooner."""
-    slow, held = make_members(6)[0].id, 0
+    """Load reports are delayed; the number of open attempts shows a queue sooner."""
+    slow, open_count = make_members(6)[0].id, 0
     for _ in range(200):
         send = sends(driver.request()[1])[0]
         if send.upstream == slow:
-            held += 1
+            open_count += 1
         else:
             driver.end(send)
-    assert 0 < held < 15  # of 200; an even part is 33
+    assert 0 < open_count < 15  # of 200 requests; an even share is 33
 
 
 def test_warming_upstreams_do_not_get_the_traffic_of_busy_warm_ones() -> None:
-    """Half of the fleet is busy, the other half warms up and has not reported."""
+    """Half of the fleet is busy; the other half is warming up and has sent no load reports."""
     members = make_members(4)
     driver = Driver(make_settings(), members)
     teach(driver, {m.id: load(20.0, 1.0) for m in members[:2]})
-    fresh = tuple(replace(m, started=driver.now) for m in members[2:])
-    driver.news(fresh)
-    got = picks(driver, 300)
-    assert sum(got.get(m.id, 0) for m in fresh) < 150
+    warming = tuple(replace(m, started=driver.now) for m in members[2:])
+    driver.news(warming)
+    counts = picks(driver, 300)
+    assert sum(counts.get(m.id, 0) for m in warming) < 150
 
 
 def test_choice_is_random_when_few_warm_upstreams_are_available() -> None:
-    """One warm upstream and two that warm up must not share all traffic."""
+    """One available warm upstream and two that are warming up must not share all traffic."""
     members = make_members(6)
     driver = Driver(make_settings(), members)
     teach(driver, {m.id: load(20.0, 1.0 if i < 3 else 0.5) for i, m in enumerate(members[:4])})
-    fresh = tuple(replace(m, started=driver.now) for m in members[4:])
-    driver.news(fresh)
-    got = picks(driver, 300)
-    assert all(got.get(m.id, 0) > 0 for m in members[:3])
-    assert sum(got.get(m.id, 0) for m in fresh) < 100
+    warming = tuple(replace(m, started=driver.now) for m in members[4:])
+    driver.news(warming)
+    counts = picks(driver, 300)
+    assert all(counts.get(m.id, 0) > 0 for m in members[:3])
+    assert sum(counts.get(m.id, 0) for m in warming) < 100
 
 
 def test_warming_upstream_gets_a_reduced_weight(driver: Driver) -> None:
