--- a/tests/unit/balancing/test_rejection_sampling.py
+++ b/tests/unit/balancing/test_rejection_sampling.py
@@ -1,4 +1,4 @@
-"""The weighted choice from a large subset."""
+"""Weighted choice from a large subset."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from tests.support.balancing import load, picks
 
 
-def known_fleet(count: int, rates: list[float], **more: object) -> Driver:
-    """A driver whose module has heard each rate at each upstream, all at a standing clock."""
-    driver = Driver(make_settings(**more), make_members(count))
+def fleet_with_reports(count: int, rates: list[float], **changes: object) -> Driver:
+    """Return a driver whose balancer has load reports with these rates, all at the same clock time."""
+    driver = Driver(make_settings(**changes), make_members(count))
     names = [m.id for m in make_members(count)]
-    picks(driver, 600)  # traffic for which the subset is the whole fleet
+    picks(driver, 600)  # enough traffic for the subset to be the whole fleet
     driver.now += 0.3
-    heard: set[str] = set()
+    reported: set[str] = set()
     for _ in range(100 * count):
         _, actions = driver.request()
         send = sends(actions)[0]
-        # Of so low a utilisation nothing is learnt of sizes: all slices come from the rates.
+        # At so low a utilisation no capacity is learned, so the weights depend on the rates alone.
         driver.end(send, elapsed=0.125, load=load(rates[names.index(send.upstream)], 0.1))
-        heard.add(send.upstream)
-    assert len(heard) == count
+        reported.add(send.upstream)
+    assert len(reported) == count
     return driver
 
 
-@pytest.mark.parametrize("known", [100, 70])
-def test_odds_equal_those_of_the_weighted_choice_among_all(known: int) -> None:
-    """Chi-square of 20,000 choices against the weights of docs/design.md; upstreams without a report get the
-    average weight."""
+@pytest.mark.parametrize("reporting_count", [100, 70])
+def test_odds_equal_those_of_the_weighted_choice_among_all(reporting_count: int) -> None:
+    """Chi-square test of 20,000 choices against the weights of docs/design.md; upstreams without a load
+    report get the average weight."""
     rates = [5.0 + 3.0 * (i % 20) for i in range(100)]
-    driver = known_fleet(100, rates)
-    if known < 100:  # the reports of some fall out of the window
-        silent = {f"10.0.0.{i}:80" for i in range(known, 100)}
+    driver = fleet_with_reports(100, rates)
+    if reporting_count < 100:  # the reports of the other upstreams expire
+        silent = {f"10.0.0.{i}:80" for i in range(reporting_count, 100)}
         driver.now += 2.0
-        heard: set[str] = set()
+        reported: set[str] = set()
         for _ in range(10_000):
             _, actions = driver.request()
             send = sends(actions)[0]
@@ -44,23 +44,23 @@
             driver.end(
                 send, elapsed=0.125, load=None if send.upstream in silent else load(rates[number], 0.1)
             )
-            heard |= {send.upstream} - silent
-        assert len(heard) == known
+            reported |= {send.upstream} - silent
+        assert len(reported) == reporting_count
         driver.now += 1.5
-    mean = sum(rates[:known]) / known
-    slices = [1.0 / ((rates[i] if i < known else mean) + mean) for i in range(100)]
-    got = dict.fromkeys((m.id for m in make_members(100)), 0)
+    mean = sum(rates[:reporting_count]) / reporting_count
+    weights = [1.0 / ((rates[i] if i < reporting_count else mean) + mean) for i in range(100)]
+    counts = dict.fromkeys((m.id for m in make_members(100)), 0)
     for _ in range(20_000):
         _, actions = driver.request()
         send = sends(actions)[0]
-        got[send.upstream] += 1
+        counts[send.upstream] += 1
         driver.end(send, elapsed=0.125)
-    expected = [20_000 * part / sum(slices) for part in slices]
-    chi = sum((n - e) ** 2 / e for n, e in zip(got.values(), expected, strict=True))
-    assert chi < 148.2  # the 0.1% point for 99 degrees of freedom
+    expected = [20_000 * weight / sum(weights) for weight in weights]
+    chi_square = sum((n - e) ** 2 / e for n, e in zip(counts.values(), expected, strict=True))
+    assert chi_square < 148.2  # the critical value at 0.1% for 99 degrees of freedom
 
 
-def test_large_fleet_falls_back_to_random_and_limits_warming_upstreams() -> None:
+def test_large_fleet_falls_back_to_random_choice_and_limits_warming_upstreams() -> None:
     driver = Driver(make_settings(), make_members(100))
     for _ in range(4000):
         driver.now += 0.0005
@@ -77,7 +77,7 @@
         driver.end(send, elapsed=0.125, load=load(20.0, 1.0))
     cold = tuple(replace(m, started=driver.now) for m in make_members(110)[100:])
     driver.news(cold)
-    got = picks(driver, 6000)
-    new = sum(got.get(m.id, 0) for m in cold)
-    # At random among all, those that warm up by their warm-up weight: 10 of 110 at 0.3 of a part each.
-    assert len(got) > 100 and 0.3 < new / (6000 * 3.0 / 103.0) < 1.6
+    counts = picks(driver, 6000)
+    cold_count = sum(counts.get(m.id, 0) for m in cold)
+    # The choice is random among all, by warm-up weight, which is 0.3 for each of the 10 new ones of 110.
+    assert len(counts) > 100 and 0.3 < cold_count / (6000 * 3.0 / 103.0) < 1.6
--- a/tests/unit/balancing/test_selection_index.py
+++ b/tests/unit/balancing/test_selection_index.py
@@ -1,4 +1,4 @@
-"""The index over a large subset."""
+"""The selection index over a large subset."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_partition_sums_are_exact() -> None:
-    """After any sequence of news, expiry and membership the sums equal those made anew."""
+    """After any sequence of load reports, expiries and membership updates, the sums equal recomputed ones."""
     random = Random(5)
     driver = Driver(make_settings(), make_members(60))
     index = driver.balancer._subset._index
@@ -35,22 +35,23 @@
             driver.news((gone,))
             driver.news(make_members(60))
         index.refresh(driver.now)
-        for side in (index.available, index.busy):
-            assert side.open_attempts == sum(u.open_attempts for u in side.members)
-            assert side.reporting_count == sum(u.rate >= 0.0 for u in side.members)
-            assert side.weight_sum() == pytest.approx(sum(u.weight for u in side.members), abs=1e-6)
+        for partition in (index.available, index.busy):
+            assert partition.open_attempts == sum(u.open_attempts for u in partition.members)
+            assert partition.reporting_count == sum(u.rate >= 0.0 for u in partition.members)
+            assert partition.weight_sum() == pytest.approx(sum(u.weight for u in partition.members), abs=1e-6)
         if step % 50 == 0:
-            for side, busy in ((index.available, False), (index.busy, True)):
-                assert all((u.utilisation > BUSY_UTILISATION) is busy for u in side.members)
+            for partition, busy in ((index.available, False), (index.busy, True)):
+                assert all((u.utilisation > BUSY_UTILISATION) is busy for u in partition.members)
     assert len(index) == 60
 
 
 class EndlessUpdateError(Exception):
-    """A refresh updates one member again and again."""
+    """Raised when a refresh updates one member again and again."""
 
 
 def test_refresh_ends_at_the_instant_at_which_a_report_expires() -> None:
-    """A report is kept at exactly its expiry, and the refresh of that instant takes it for expired."""
+    """Guards against an endless refresh: at exactly its expiry a report is still kept, so a refresh at that
+    instant must not treat it as expired again and again."""
     updates = 0
 
     def update_weight(now: float, upstream: UpstreamState) -> None:
@@ -70,14 +71,17 @@
 
 CLOCK_S = st.one_of(
     st.floats(0.0, 1e-3),
-    st.floats(0.0, 3.2e7),  # up to a machine's uptime of a year
-    st.integers(0, 32 * 10**9).map(lambda ms: ms / 1000.0),  # a clock of coarse steps
+    st.floats(0.0, 3.2e7),  # up to an uptime of one year
+    st.integers(0, 32 * 10**9).map(lambda ms: ms / 1000.0),  # a clock with a resolution of 1 ms
 )
 
 
 @given(st.lists(CLOCK_S, min_size=1, max_size=6, unique=True), st.sampled_from((-2, -1, 0, 1, 2)))
-def test_refresh_updates_each_member_once_at_and_beside_each_expiry(times: list[float], floats: int) -> None:
-    """Guards against a refresh that never ends: the times of expiry and the check must agree to the float."""
+def test_refresh_updates_each_member_once_at_and_beside_each_expiry(
+    times: list[float], float_steps: int
+) -> None:
+    """Guards against a refresh that never ends: the scheduled expiry and the expiry check must agree exactly,
+    without any rounding difference."""
     updates: list[UpstreamState] = []
 
     def update_weight(now: float, upstream: UpstreamState) -> None:
@@ -94,8 +98,8 @@
     while upstream.reports:
         expiry = upstream.reports.next_expiry()
         now = expiry
-        for _ in range(abs(floats)):
-            now = math.nextafter(now, math.inf if floats > 0 else -math.inf)
+        for _ in range(abs(float_steps)):
+            now = math.nextafter(now, math.inf if float_steps > 0 else -math.inf)
         left = len(upstream.reports)
         updates.clear()
         index.refresh(now)
--- a/tests/unit/balancing/test_upstream_registry.py
+++ b/tests/unit/balancing/test_upstream_registry.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list."""
+"""Membership updates."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def test_draining_upstream_gets_no_request(driver: Driver) -> None:
-    one = make_members(6)[0]
-    driver.news((replace(one, state=EndpointState.DRAINING),))
-    assert one.id not in driver.serve(100)
-    driver.news((replace(one, state=EndpointState.GONE),))
-    assert one.id not in driver.serve(100)
+    member = make_members(6)[0]
+    driver.news((replace(member, state=EndpointState.DRAINING),))
+    assert member.id not in driver.serve(100)
+    driver.news((replace(member, state=EndpointState.GONE),))
+    assert member.id not in driver.serve(100)
 
 
 def test_upstream_missing_from_a_full_list_is_removed(driver: Driver) -> None:
