--- a/indigokeel/balancing/selection_index.py
+++ b/indigokeel/balancing/selection_index.py
@@ -14,7 +14,7 @@
 
 from indigokeel.balancing.upstream_state import UpstreamState
 
-_FIXED_POINT_UNIT = float(1 << 32)
+_FIXED_POINT_SCALE = float(1 << 32)
 
 
 class Partition:
@@ -32,11 +32,11 @@
 
     def mean_rate(self) -> float:
         """Return the mean of rate / relative capacity over the reporting members, or 0.0 without any."""
-        return self._rate_sum / _FIXED_POINT_UNIT / self.reporting_count if self.reporting_count else 0.0
+        return self._rate_sum / _FIXED_POINT_SCALE / self.reporting_count if self.reporting_count else 0.0
 
     def weight_sum(self) -> float:
         """Return the sum of the members' weights."""
-        return self._weight_sum / _FIXED_POINT_UNIT
+        return self._weight_sum / _FIXED_POINT_SCALE
 
     def add(self, contribution: _Contribution, sign: int) -> None:
         """Add (1) or subtract (-1) the contribution of one member to the sums."""
@@ -65,10 +65,10 @@
         """Copy the current figures of an upstream."""
         self.reporting = int(upstream.rate >= 0.0)
         if self.reporting:
-            self.rate = int(upstream.rate / upstream.relative_capacity * _FIXED_POINT_UNIT)
+            self.rate = int(upstream.rate / upstream.relative_capacity * _FIXED_POINT_SCALE)
         else:
             self.rate = 0
-        self.weight = int(upstream.weight * _FIXED_POINT_UNIT)
+        self.weight = int(upstream.weight * _FIXED_POINT_SCALE)
         self.warm = int(upstream.warm_up_weight >= 1.0)
         self.open_attempts = upstream.open_attempts
 
--- a/indigokeel/balancing/statistics.py
+++ b/indigokeel/balancing/statistics.py
@@ -8,7 +8,7 @@
 PRIOR_SAMPLES = 2.0  # samples that the parent's estimate counts for
 PRIOR_OBSERVATIONS = 10.0  # of other keys, assumed to precede those that are counted
 
-_FIXED_POINT_UNIT = float(1 << 40)
+_FIXED_POINT_SCALE = float(1 << 40)
 
 
 class DecayingSum:
@@ -130,8 +130,8 @@
 
     def add(self, now: float, first: float, second: float) -> None:
         """Add a sample at clock time ``now``."""
-        fixed_first = int(first * _FIXED_POINT_UNIT)
-        fixed_second = int(second * _FIXED_POINT_UNIT)
+        fixed_first = int(first * _FIXED_POINT_SCALE)
+        fixed_second = int(second * _FIXED_POINT_SCALE)
         self._samples.append((now + self.span_s, fixed_first, fixed_second))
         self._first_sum += fixed_first
         self._second_sum += fixed_second
@@ -145,7 +145,7 @@
             self._second_sum -= second
         if not samples:
             return None
-        divisor = len(samples) * _FIXED_POINT_UNIT
+        divisor = len(samples) * _FIXED_POINT_SCALE
         return self._first_sum / divisor, self._second_sum / divisor
 
     def next_expiry(self) -> float:
--- a/indigokeel/balancing/subsetting.py
+++ b/indigokeel/balancing/subsetting.py
@@ -19,7 +19,7 @@
 SUBSET_VALIDITY_S = 0.25  # how long a subset is kept if it is not invalidated
 MAX_SCANNED_UPSTREAMS = 16  # larger subsets are sampled by means of the selection index
 KEY_WINDOW_SIZE = 20  # upstreams that are candidates for a key
-HOT_KEY_SPREAD = 2.0  # additional virtual keys per upstream's worth of traffic that a key has
+HOT_KEY_SPREAD = 2.0  # virtual keys added for each average upstream's worth of traffic on a key
 MAX_COUNTED_KEYS = 500
 
 
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -35,7 +35,7 @@
 from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
 
 BEGIN = 1000.0  # clock time at which the fleet begins
-STARTED = 1003.0  # clock time at which upstreams start cold, and every sidecar is notified
+STARTED = 1003.0  # clock time at which upstreams start cold; every sidecar is notified at once
 END = 1009.0
 SAFETY = Safety(warm_up_initial_ratio=0.35, warm_up_time=8.8, overload_multiple=3.0, overload_window=1.5)
 STRICT = Safety(warm_up_initial_ratio=0.3, warm_up_time=8.0, overload_multiple=1.5, overload_window=2.0)
