--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -85,8 +85,8 @@
             self._supervisor.spawn("health check", self._check_health, upstream)
         for upstream in effects.close_idle:
             guarded("closing idle connections", self._upstream_client.close_idle, upstream)
-        if effects.warm:
-            guarded("opening connections ahead", self._upstream_client.warm_up, effects.warm)
+        if effects.preconnect:
+            guarded("opening connections ahead", self._upstream_client.warm_up, effects.preconnect)
         if effects.watch:
             self._supervisor.keep_running("watch", self._discovery.watch)
         if effects.fetch:
--- a/indigokeel/requests/__init__.py
+++ b/indigokeel/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The state of each request, from its arrival to its one final answer."""
+"""Tracks each request from its arrival to its one final answer."""
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -32,15 +32,15 @@
 from indigokeel.requests.open_request import OpenRequest
 from indigokeel.requests.open_requests import OpenRequests
 from indigokeel.requests.timer_queue import TimerQueue
-from indigokeel.requests.unserved import Unserved, UnservedCause, explain
+from indigokeel.requests.unserved import Unserved, UnservedCause, explain_unserved
 
-# Bound on the events that one call may cause in the balancer, so that no loop of events runs for ever.
+# Bound on the events that one call may cause in the balancer, so that no cycle of events runs forever.
 _MAX_EVENTS = 1000
 _MAX_EVENTS_PER_OPEN_REQUEST = 8
 
 
 class BalancerDriver:
-    """Runs the balancer over the open requests: every attempt gets one outcome, every request one answer."""
+    """Runs the balancer for the open requests: one outcome for each attempt, one answer for each request."""
 
     def __init__(
         self,
@@ -49,24 +49,27 @@
         directory: EndpointDirectory,
         timers: TimerQueue,
     ) -> None:
-        """Create a driver of ``balancer`` over the state of a coordinator."""
+        """Create a driver of ``balancer`` that works on a coordinator's state."""
         self._balancer = balancer
         self._requests = requests
         self._directory = directory
         self._timers = timers
-        self.faults = 0  # exceptions of the balancer
+        self.faults = 0  # number of exceptions raised by the balancer
 
     # --- events ---------------------------------------------------------------------------------------
 
     def deliver(self, now: float, event: Event, effects: Effects, request: OpenRequest | None = None) -> None:
-        """Deliver an event, and those that its actions cause; ``request`` is the one that it concerns."""
+        """Deliver an event and the further events that its actions cause.
+
+        ``request`` is the open request that ``event`` concerns, if any.
+        """
         events = [event]
         for number in range(_MAX_EVENTS + _MAX_EVENTS_PER_OPEN_REQUEST * len(self._requests)):
             if number >= len(events):
                 break
             try:
                 actions = self._balancer.handle(now, events[number])
-            except Exception as error:  # a fault in a decision costs its request, never the process
+            except Exception as error:  # fails at most the request, never the process
                 self._record_fault(now, error, effects, request)
                 continue
             for action in actions:
@@ -80,18 +83,20 @@
         self.faults += 1
         effects.notes.append(f"fault in the balancer: {type(error).__name__}: {error}")
         if request is not None and not request.answered and request.attempts_in_flight == 0:
-            why = self._explain(now, request, UnservedCause.INTERNAL_ERROR)
-            self._requests.answer(request, FinalAnswer(request.id, FinalStatus.FAILED, unserved=why), effects)
+            unserved = self._explain(now, request, UnservedCause.INTERNAL_ERROR)
+            self._requests.answer(
+                request, FinalAnswer(request.id, FinalStatus.FAILED, unserved=unserved), effects
+            )
 
     def _explain(self, now: float, request: OpenRequest, cause: UnservedCause | None = None) -> Unserved:
-        return explain(now, request, self._directory.has_upstreams(), cause)
+        return explain_unserved(now, request, self._directory.has_upstreams(), cause)
 
-    def expire_at_deadline(self, request: OpenRequest) -> None:
-        """Schedule the end of a request at its ``respond_by``."""
+    def schedule_expiry(self, request: OpenRequest) -> None:
+        """Schedule the expiry of a request at its ``respond_by``."""
         self._timers.schedule(request.respond_by, partial(self._expire, request), request)
 
     def _expire(self, request: OpenRequest, now: float, effects: Effects) -> None:
-        """End the attempts of a request whose time is over, and see that it has an answer."""
+        """Time out the open attempts of a request whose time is over, and answer it if it has no answer."""
         for number in range(len(request.attempts)):
             self.time_out_attempt(now, request, number, effects)
         if not request.answered:
@@ -100,7 +105,7 @@
         self._requests.close_if_done(request)
 
     def time_out_attempt(self, now: float, request: OpenRequest, number: int, effects: Effects) -> None:
-        """Cancel an attempt whose time is over, unless it has ended."""
+        """Cancel an attempt whose time is over, unless it has already ended."""
         attempt = request.open_attempt(number)
         if attempt is None:
             return
@@ -118,14 +123,14 @@
         effects: Effects,
         load: LoadReport | None = None,
     ) -> None:
-        """Record the outcome of an attempt that has none, and let the balancer decide what follows."""
+        """Record the outcome of an open attempt, and let the balancer decide what to do next."""
         attempt = request.end_attempt(number, outcome)
         request.attempts_in_flight -= 1
         if outcome is AttemptOutcome.OK and not request.answered:
             answer = FinalAnswer(request.id, FinalStatus.SERVED, attempt=number)
             self._requests.answer(request, answer, effects)
         if outcome is AttemptOutcome.TIMED_OUT and request.delayed_by_client and now >= request.respond_by:
-            outcome = AttemptOutcome.CANCELLED  # the upstream was not late
+            outcome = AttemptOutcome.CANCELLED  # the client caused the delay, not the upstream
         elapsed = max(now - attempt.started_at, 0.0)
         event = AttemptEnded(
             request.id, attempt.upstream, number, outcome, elapsed, final=request.answered, load=load
@@ -135,7 +140,7 @@
     # --- actions --------------------------------------------------------------------------------------
 
     def _apply(self, now: float, action: Action, effects: Effects, events: list[Event]) -> None:
-        if isinstance(action, SendAttempt):  # first the two that every request causes
+        if isinstance(action, SendAttempt):  # this and SetTimer come first: every request causes them
             self._start_attempt(now, action, effects, events)
         elif isinstance(action, SetTimer):
             self._timers.schedule(now + action.delay, partial(self._fire_timer, action.token))
@@ -149,11 +154,11 @@
         elif isinstance(action, CancelAttempt):
             self._cancel_attempt(now, action, effects, events)
         else:
-            self._pass_on(action, effects)
+            self._apply_process_action(action, effects)
 
     @staticmethod
-    def _pass_on(action: Action, effects: Effects) -> None:
-        """Add an action to the effects that concerns no request."""
+    def _apply_process_action(action: Action, effects: Effects) -> None:
+        """Add an action that concerns no request to the effects."""
         if isinstance(action, SendHealthCheck):
             effects.health_checks.append(action.upstream)
         elif isinstance(action, WatchEndpoints):
@@ -203,8 +208,8 @@
             return
         request.attempts_in_flight += 1
         if request.long:
-            # The body is not kept, so it cannot be sent again. Once its response counts as started, the
-            # balancer neither waits for it nor sends another attempt.
+            # The streamed body is not kept, so it cannot be sent again. Once the response is reported as
+            # started, the balancer neither waits for it nor sends another attempt.
             events.append(ResponseStarted(action.id, action.upstream, number))
             until = min(now + request.time_limit, request.respond_by)
         else:
@@ -215,7 +220,7 @@
 
     @staticmethod
     def _attempt_deadline(now: float, action: SendAttempt, request: OpenRequest) -> float:
-        """Return the clock time at which an attempt is given up."""
+        """Return the clock time at which an attempt times out."""
         if action.timeout < 0.0:
             return now
         if action.timeout > 0.0:
@@ -224,7 +229,7 @@
 
     def _schedule_time_out(self, until: float, request: OpenRequest, number: int) -> None:
         def time_out(now: float, effects: Effects) -> None:
-            """Time the attempt out."""
+            """Time out the attempt."""
             self.time_out_attempt(now, request, number, effects)
 
         self._timers.schedule(until, time_out, request)
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -1,8 +1,8 @@
-"""The coordinator: one final answer for each request, one outcome for each attempt.
+"""The request coordinator: gives each request one final answer and each attempt one outcome.
 
-Network code hands in requests, outcomes of attempts, endpoint lists and the time, and carries out the effects
-that it gets back; the events and actions of the balancer stay in here. The coordinator does no input or
-output and takes the clock as an argument, so that any protocol can stand before it.
+Network code passes in requests, attempt outcomes, endpoint lists and the time, and carries out the effects
+that are returned; the events and actions of the balancer are internal to this package. The coordinator does
+no I/O and takes the clock as an argument, so that it works with any protocol.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class RequestCoordinator:
-    """Carries each request of one sidecar from its arrival to its one final answer."""
+    """Handles each request of one sidecar from its arrival to its one final answer."""
 
     def __init__(self, settings: Settings, seed: int, unix_to_clock: float) -> None:
         """Create a coordinator; ``unix_to_clock`` is added to a Unix time to get the clock time."""
@@ -49,11 +49,11 @@
         self._timer_faults = 0
         self._lag_s = 0.0
         self._lag_sampled_at = math.inf
-        self.ticks_cut_short = 0  # calls of ``tick`` that left a due timer for the next call
+        self.ticks_cut_short = 0  # number of calls of ``tick`` that left a due timer for the next call
 
     @property
     def cordons(self) -> Cordons:
-        """The cordons of the operators."""
+        """The cordons set by operators."""
         return self._directory.cordons
 
     @property
@@ -63,11 +63,11 @@
 
     @property
     def faults(self) -> int:
-        """The number of exceptions of the balancer and of timers."""
+        """The number of exceptions raised by the balancer and by timer callbacks."""
         return self._driver.faults + self._timer_faults
 
     def next_deadline(self) -> float:
-        """Return the clock time at which ``tick`` is due, or infinity."""
+        """Return the clock time at which ``tick`` is due, or infinity if no timer is set."""
         return self._timers.next_deadline()
 
     def has_upstreams(self) -> bool:
@@ -75,7 +75,7 @@
         return self._directory.has_upstreams()
 
     def is_open(self, request_id: str) -> bool:
-        """Return True if a request of this id is open, or has an attempt in flight."""
+        """Return True if the request with this id has no answer yet or has an attempt in flight."""
         return request_id in self._requests
 
     def address(self, upstream: str) -> Address | None:
@@ -83,15 +83,18 @@
         return self._directory.address(upstream)
 
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """Return the endpoint list as discovery sent it."""
+        """Return the endpoint list as received from discovery."""
         return self._directory.endpoints()
 
     def is_overloaded(self) -> bool:
-        """Return True if this process runs so late that ``shed_early`` may reject requests."""
+        """Return True if the event loop lags so much that ``shed_early`` may reject requests."""
         return self._balancer.is_overloaded()
 
     def shed_early(self, now: float, class_name: str, budget: float) -> float | None:
-        """Return the seconds after which a client rejected before parsing may retry, None to accept it."""
+        """Decide whether to reject a request before it is parsed.
+
+        Return None to accept it, or the seconds after which the rejected client may retry.
+        """
         return self._balancer.shed_early(now, class_name, budget)
 
     def pick(self, now: float, request: Request) -> Effects:
@@ -100,24 +103,24 @@
         if self._requests.is_full():
             effects.answers.append(self._requests.reject_for_capacity(request))
             return effects
-        opened = self._requests.open(now, request)
+        open_request = self._requests.open(now, request)
         if not request.long:
-            self._driver.expire_at_deadline(opened)
+            self._driver.schedule_expiry(open_request)
         event = RequestArrived(
             request.id, request.class_name, request.budget, request.tenant, request.key, request.hint
         )
-        self._driver.deliver(now, event, effects, opened)
+        self._driver.deliver(now, event, effects, open_request)
         return effects
 
     def request_body_received(self, now: float, request_id: str) -> None:
-        """Start the time limit of a request with a long body, whose last byte was received."""
+        """Start the time limit of a request with a streamed body, whose last byte has been received."""
         request = self._requests.get(request_id)
         if request is not None and not request.answered and request.respond_by == math.inf:
-            request.restart_clock(now)
-            self._driver.expire_at_deadline(request)
+            request.restart_time_limit(now)
+            self._driver.schedule_expiry(request)
 
     def client_disconnected(self, now: float, request_id: str) -> Effects:
-        """End a request whose client has disconnected: nothing more is owed."""
+        """End a request whose client has disconnected; it needs no answer any more."""
         effects = Effects()
         request = self._requests.get(request_id)
         if request is None or request.answered:
@@ -133,32 +136,32 @@
         return effects
 
     def limit_deadlines(self, respond_by: float) -> None:
-        """Give every open request its final answer by this clock time, because the process ends."""
+        """Bring later deadlines of open requests forward to ``respond_by``, as the process shuts down."""
         for request in self._requests.unanswered_requests():
             if request.respond_by > respond_by:
                 request.respond_by = respond_by
                 request.limited_by_shutdown = True
-                self._driver.expire_at_deadline(request)
+                self._driver.schedule_expiry(request)
 
     def may_begin(self, now: float, attempt: Attempt) -> bool:
-        """Decide, right before its first byte is written, whether an attempt may still be sent.
+        """Decide whether an attempt may still be sent; called right before its first byte is written.
 
-        While its connection was opened the upstream may have begun to drain, the request may have been
-        answered, or the window may have closed in which a keyed request may be retried.
+        While its connection was being opened, the upstream may have started to drain, the request may have
+        been answered, or the time in which a keyed request may be retried may have passed.
         """
         request = self._requests.get(attempt.request_id)
         if request is None or request.answered or self.address(attempt.upstream) is None:
             return False
-        opened = request.attempts[attempt.number]
-        if opened.ended or now >= opened.send_before:
+        open_attempt = request.attempts[attempt.number]
+        if open_attempt.ended or now >= open_attempt.send_before:
             return False
-        opened.sent = True
+        open_attempt.sent = True
         return True
 
     def report(
         self, now: float, attempt: Attempt, outcome: AttemptOutcome, load: LoadReport | None = None
     ) -> Effects:
-        """Take the outcome of an attempt; one that has an outcome already is ignored."""
+        """Record the outcome of an attempt; a second outcome of the same attempt is ignored."""
         effects = Effects()
         request = self._requests.get(attempt.request_id)
         if request is not None and request.open_attempt(attempt.number) is not None:
@@ -173,13 +176,13 @@
         elapsed: float,
         load: LoadReport | None = None,
     ) -> Effects:
-        """Take the outcome of a health check, which took ``elapsed`` seconds."""
+        """Pass the outcome of a health check, which took ``elapsed`` seconds, to the balancer."""
         effects = Effects()
         self._driver.deliver(now, HealthCheckEnded(upstream, outcome, elapsed, load), effects)
         return effects
 
     def sample_lag(self, now: float, seconds: float) -> Effects:
-        """Take a sample of how late this process runs; called at a steady interval."""
+        """Record a lag sample of the event loop; called every ``LAG_SAMPLE_INTERVAL_S``."""
         self._lag_s = seconds
         self._lag_sampled_at = now
         effects = Effects()
@@ -187,18 +190,18 @@
         return effects
 
     def loop_lag_s(self, now: float) -> float:
-        """Return how late this process runs: by the newest sample, or by one that is overdue."""
+        """Return the event loop lag: the latest sample, or the delay of the next one if that is longer."""
         return max(self._lag_s, now - self._lag_sampled_at - LAG_SAMPLE_INTERVAL_S)
 
     def tick(self, now: float) -> Effects:
-        """Run the timers that are due; one that they set for this instant is left for the next call."""
+        """Run the timers that are due; one that a callback sets for ``now`` is left for the next call."""
         effects = Effects()
-        for timer in self._timers.take_due(now):
+        for timer in self._timers.pop_due(now):
             if timer.is_dropped():
                 continue
             try:
                 timer.callback(now, effects)
-            except Exception as error:  # costs this timer, and none of the effects of the others
+            except Exception as error:  # affects this timer alone; the effects of the others are kept
                 self._timer_faults += 1
                 effects.notes.append(f"fault in a timer: {type(error).__name__}: {error}")
         if self._timers.next_deadline() <= now:
@@ -206,45 +209,48 @@
         return effects
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings, whole; raise ValueError and change nothing where they are invalid.
+        """Apply all new settings; raise ValueError and change nothing if they are invalid.
 
-        Open requests keep the class and the number of attempts that they arrived under.
+        Open requests keep the class settings and the limit on attempts that were in force on their arrival.
         """
         self._balancer.apply_settings(settings)
         self._requests.apply_settings(settings)
         self._directory.start_times.list_age = settings.safety.poll_within
 
     def update_endpoints(self, now: float, update: EndpointList, cached: bool = False) -> Effects:
-        """Apply an endpoint list, whole or in part; ``cached`` if discovery did not send it just now."""
+        """Apply a full or partial endpoint list; ``cached`` if it was not just received from discovery."""
         effects = Effects()
         self._apply_change(now, self._directory.apply_update(now, update, cached), effects)
         return effects
 
     def endpoint_watch_failed(self, now: float) -> Effects:
-        """Record that a call to discovery failed, or that a watch has ended."""
+        """Record that a call to discovery has failed or that a watch has ended."""
         self._directory.start_times.list_lost(now)
         effects = Effects()
         self._driver.deliver(now, MembershipUpdate(UpdateKind.FAILED), effects)
         return effects
 
     def cordon(self, now: float, upstream: str) -> Effects | None:
-        """Cordon an upstream until ``uncordon``, whatever discovery lists; None if it is unknown."""
+        """Cordon an upstream until ``uncordon``, whatever discovery reports; return None if it is unknown."""
         return self._apply_cordons(now, self._directory.cordon(now, upstream))
 
     def uncordon(self, now: float, upstream: str) -> Effects | None:
-        """Lift a cordon; the upstream warms up. None if it is unknown."""
+        """Uncordon an upstream, which then warms up; return None if it is unknown."""
         return self._apply_cordons(now, self._directory.uncordon(now, upstream))
 
     def merge_cordons(self, now: float, records: Iterable[CordonRecord]) -> Effects:
-        """Apply the cordon records of another process of this sidecar."""
+        """Apply the cordon records written by another process of this sidecar."""
         return self._apply_cordon_changes(now, self._directory.merge_cordons(records))
 
     def export_learned_state(self, now: float) -> dict[str, Any] | None:
-        """Return what the balancer has learnt, or None where handing it on does not pay."""
+        """Return the balancer's learned state, or None if it is not worth passing on."""
         return learned_state.collect(self._balancer, now)
 
     def restore_learned_state(self, now: float, data: Any) -> Effects:
-        """Restore what another process had learnt, between the first endpoint list and the first request."""
+        """Restore the learned state of another process.
+
+        Call it after the first endpoint list and before the first request.
+        """
         effects = Effects()
         try:
             learned_state.restore(self._balancer, now, data)
@@ -257,16 +263,19 @@
         return self._directory.snapshot_start_times(now)
 
     def restore_start_times(self, snapshot: StartsSnapshot) -> None:
-        """Restore the start times that another process of this boot knew: before the first endpoint list."""
+        """Restore the start times recorded by another process since the same boot of the host.
+
+        Call it before the first endpoint list.
+        """
         self._directory.start_times.inherit(snapshot)
 
     def _apply_change(self, now: float, change: DirectoryChange, effects: Effects) -> None:
         effects.close_idle += change.moved
-        effects.warm += change.added
+        effects.preconnect += change.added
         self._driver.deliver(now, change.membership, effects)
 
     def _apply_cordons(self, now: float, changed: list[str] | None) -> Effects | None:
-        """Apply the cordons of the upstreams in ``changed``; None, for an unknown upstream, stays None."""
+        """Apply the cordons of the upstreams in ``changed``; None, for an unknown upstream, is returned."""
         return None if changed is None else self._apply_cordon_changes(now, changed)
 
     def _apply_cordon_changes(self, now: float, changed: list[str]) -> Effects:
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -1,4 +1,4 @@
-"""What the coordinator takes and returns: plain values, independent of any protocol."""
+"""Inputs and results of the request coordinator: plain values, independent of any protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FinalStatus(Enum):
-    """The final answer to a request."""
+    """The kind of the final answer to a request."""
 
     __hash__ = object.__hash__
 
@@ -20,22 +20,22 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request, owed exactly one answer within ``budget`` seconds."""
+    """A client's request, which gets exactly one final answer within ``budget`` seconds."""
 
     id: str
     class_name: str
     budget: float
     tenant: str = ""
     key: str = ""
-    hint: float = 0.0  # estimate of its work in seconds of a standard core; 0: none
-    waited: float = 0.0  # seconds of its client's time spent behind other requests of the connection
-    long: bool = False  # its body is streamed: its time starts with ``request_body_received``
-    limited_by_shutdown: bool = False  # its budget is shorter than its client's because the process ends
+    hint: float = 0.0  # the client's estimate of its work, in seconds of a standard core; 0 if there is none
+    waited: float = 0.0  # seconds of the client's time limit spent behind other requests of the connection
+    long: bool = False  # its body is streamed; its time limit starts with ``request_body_received``
+    limited_by_shutdown: bool = False  # a shutdown made ``budget`` shorter than the client's time limit
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt at a request on one upstream, which times out at clock time ``until``."""
+    """One attempt to have a request served by one upstream; it times out at clock time ``until``."""
 
     request_id: str
     number: int
@@ -45,26 +45,26 @@
 
 @dataclass(slots=True)
 class FinalAnswer:
-    """The final answer to a request; ``attempt`` is the number of the one that served it, else -1."""
+    """The final answer to a request; ``attempt`` is the number of the attempt that served it, or -1."""
 
     request_id: str
     status: FinalStatus
     retry_after_s: float = 0.0
     attempt: int = -1
-    unserved: Unserved | None = field(default=None, compare=False)  # why it is no success
+    unserved: Unserved | None = field(default=None, compare=False)  # why it was not served
 
 
 @dataclass(slots=True)
 class Effects:
-    """What the process has to do now."""
+    """What the network code has to do now."""
 
     attempts: list[Attempt] = field(default_factory=list)
     answers: list[FinalAnswer] = field(default_factory=list)
-    # Attempts whose connection is to close, by request id and number.
+    # Attempts to cancel by closing their connection: request id and attempt number.
     cancelled: list[tuple[str, int]] = field(default_factory=list)
-    health_checks: list[str] = field(default_factory=list)
-    close_idle: list[str] = field(default_factory=list)
-    warm: list[str] = field(default_factory=list)  # new upstreams, to open connections to
-    notes: list[str] = field(default_factory=list)
-    watch: bool = False
-    fetch: bool = False
+    health_checks: list[str] = field(default_factory=list)  # upstreams
+    close_idle: list[str] = field(default_factory=list)  # upstreams whose idle connections are closed
+    preconnect: list[str] = field(default_factory=list)  # new upstreams to open connections to in advance
+    notes: list[str] = field(default_factory=list)  # log lines
+    watch: bool = False  # start a watch of the endpoint list
+    fetch: bool = False  # fetch the endpoint list once
--- a/indigokeel/requests/open_request.py
+++ b/indigokeel/requests/open_request.py
@@ -7,27 +7,29 @@
 
 from indigokeel.balancing.events import AttemptOutcome
 
-_MAX_UNSENT_ATTEMPTS = 5  # beyond the limit on attempts: an attempt of which nothing was sent does not count
+# Attempts that ended before their first byte was sent do not count against the limit on attempts, up to this
+# number.
+_MAX_UNSENT_ATTEMPTS = 5
 
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """An attempt that was started, from its start to its one outcome."""
+    """An attempt, from its start to its one outcome."""
 
     upstream: str
     started_at: float  # clock time
-    send_before: float  # clock time; a retry of a keyed request may not begin later
-    sent: bool = False  # its first byte was about to be written
-    outcome: AttemptOutcome | None = None  # None while it is open
+    send_before: float  # clock time before which it must be sent; bounds the retries of a keyed request
+    sent: bool = False  # set right before its first byte is written
+    outcome: AttemptOutcome | None = None  # None until it has ended
 
     @property
     def ended(self) -> bool:
-        """True once it has its outcome."""
+        """True once the attempt has its outcome."""
         return self.outcome is not None
 
     @property
     def may_have_run(self) -> bool:
-        """True unless its outcome proves that it had no effect."""
+        """True unless the outcome proves that the attempt had no effect."""
         return self.outcome is None or not self.outcome.never_ran
 
 
@@ -38,28 +40,28 @@
     id: str
     class_name: str
     received_at: float  # clock time
-    respond_by: float  # clock time of the final answer at the latest; infinite while a long body is received
-    idempotency_window: float  # seconds after the first attempt in which a retry may begin
+    respond_by: float  # clock time by which it is answered; infinite while a streamed body is received
+    idempotency_window: float  # seconds after the first attempt in which a retry may be sent
     max_attempts: int
-    time_limit: float  # seconds from the arrival, or from the last byte of a long body, to ``respond_by``
+    time_limit: float  # seconds from the arrival, or from the last byte of a streamed body, to ``respond_by``
     long: bool  # its body is streamed
-    delayed_by_client: bool  # it waited behind other requests of its client, so no upstream is late with it
+    delayed_by_client: bool  # it waited behind other requests of its client; not blamed on an upstream
     attempts: list[OpenAttempt] = field(default_factory=list)
     attempts_in_flight: int = 0
-    limited_by_shutdown: bool = False  # ``respond_by`` was brought forward because the process ends
+    limited_by_shutdown: bool = False  # ``respond_by`` was brought forward by a shutdown
     answered: bool = False
     closed: bool = False
     pending_timers: int = 0  # see ``TimerQueue``
 
     def add_attempt(self, upstream: str, now: float) -> OpenAttempt:
-        """Record one more attempt, which starts now."""
+        """Add an attempt that starts now."""
         first = next((attempt.started_at for attempt in self.attempts if attempt.may_have_run), math.inf)
         attempt = OpenAttempt(upstream, now, first + self.idempotency_window)
         self.attempts.append(attempt)
         return attempt
 
     def may_send(self, now: float, number: int) -> bool:
-        """Return True if attempt ``number`` is within the limits of this request."""
+        """Return True if attempt ``number`` is within the limits on time and attempts of this request."""
         unsent = sum(attempt.ended and not attempt.sent for attempt in self.attempts[:number])
         counted = number - min(unsent, _MAX_UNSENT_ATTEMPTS)
         return not self.answered and now < self.respond_by and counted < self.max_attempts
@@ -71,7 +73,7 @@
         return self.attempts[number]
 
     def may_have_run(self) -> bool:
-        """Return True unless it is proved that no attempt had an effect."""
+        """Return True unless the outcomes prove that no attempt had an effect."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
     def end_attempt(self, number: int, outcome: AttemptOutcome) -> OpenAttempt:
@@ -80,12 +82,12 @@
         attempt.outcome = outcome
         return attempt
 
-    def restart_clock(self, now: float) -> None:
-        """Start the time limit now, when the last byte of a long body was received."""
+    def restart_time_limit(self, now: float) -> None:
+        """Start the time limit now, when the last byte of a streamed body has been received."""
         self.respond_by = now + self.time_limit
         for attempt in self.attempts:
             attempt.started_at = now
 
     def is_done(self) -> bool:
-        """Return True once it is answered and no attempt is in flight."""
+        """Return True once the request is answered and no attempt is in flight."""
         return self.answered and self.attempts_in_flight == 0
--- a/indigokeel/requests/open_requests.py
+++ b/indigokeel/requests/open_requests.py
@@ -1,4 +1,4 @@
-"""All open requests of one sidecar, each kept until it is answered and its attempts have ended."""
+"""The open requests of one sidecar: each is kept until it is answered and its attempts have ended."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 from indigokeel.requests.timer_queue import TimerQueue
 from indigokeel.requests.unserved import Unserved, UnservedCause
 
-# Seconds before the client's own limit at which the final answer is given, so that it can be written and can
-# arrive. The longer margin applies where it does not cost a response within the latency objective.
+# Seconds between the final answer and the client's own time limit, so that the answer can be written and
+# arrive in time. The longer margin applies unless it would cut into the latency objective.
 RESPONSE_MARGIN_S = 0.05
 MIN_RESPONSE_MARGIN_S = 0.01
 
-_MIN_DELAY_BY_CLIENT_S = 0.01  # wait behind other requests, from which a time-out says nothing of an upstream
+# Once a request has waited this long behind other requests of its client, a time-out says nothing about the
+# upstream.
+_MIN_DELAY_BY_CLIENT_S = 0.01
 
 
 class OpenRequests:
-    """The requests that are owed an answer, or have an attempt in flight."""
+    """The requests that have no final answer yet or have an attempt in flight."""
 
     def __init__(self, settings: Settings, timers: TimerQueue) -> None:
         """``timers`` is the queue that holds the timers of the requests."""
@@ -33,11 +35,11 @@
         return len(self._requests)
 
     def __contains__(self, request_id: object) -> bool:
-        """Return True if a request of this id is open."""
+        """Return True if a request with this id is open."""
         return request_id in self._requests
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply new settings to the requests that arrive from now on."""
+        """Apply new settings to the requests that arrive after this call."""
         self._limits = settings.limits
         self._latency_objectives = {cls.name: cls.latency_objective for cls in settings.classes}
         self._idempotency_windows = {
@@ -47,16 +49,16 @@
         }
 
     def is_full(self) -> bool:
-        """Return True if as many requests wait for their answer as the settings allow."""
+        """Return True if the limit on unanswered requests (``max_open_requests``) is reached."""
         return self.unanswered >= self._limits.max_open_requests
 
     def reject_for_capacity(self, request: Request) -> FinalAnswer:
-        """Return the answer to a request that arrives while this is full."""
-        why = Unserved(UnservedCause.OVERLOAD, request.class_name)
-        return FinalAnswer(request.id, FinalStatus.REJECTED, self._limits.max_retry_after, unserved=why)
+        """Return the final answer of a request that arrives while ``is_full``."""
+        unserved = Unserved(UnservedCause.OVERLOAD, request.class_name)
+        return FinalAnswer(request.id, FinalStatus.REJECTED, self._limits.max_retry_after, unserved=unserved)
 
     def get(self, request_id: str) -> OpenRequest | None:
-        """Return the open request of this id, or None."""
+        """Return the open request with this id, or None."""
         return self._requests.get(request_id)
 
     def unanswered_requests(self) -> list[OpenRequest]:
@@ -68,7 +70,7 @@
         if request.id in self._requests:
             raise ValueError(f"a request of this id is open: {request.id}")
         time_limit = self._time_limit(request)
-        opened = OpenRequest(
+        open_request = OpenRequest(
             id=request.id,
             class_name=request.class_name,
             received_at=now,
@@ -80,21 +82,21 @@
             limited_by_shutdown=request.limited_by_shutdown,
             delayed_by_client=request.waited > _MIN_DELAY_BY_CLIENT_S,
         )
-        self._requests[request.id] = opened
+        self._requests[request.id] = open_request
         self.unanswered += 1
-        return opened
+        return open_request
 
     def _time_limit(self, request: Request) -> float:
-        """Return the seconds until the final answer, at least half of the client's limit.
+        """Return the seconds within which the final answer is given, at least half of the client's limit.
 
-        They are cut below the latency objective by the shorter margin alone.
+        Only the shorter margin may reduce them below the latency objective.
         """
         objective = self._latency_objectives.get(request.class_name, 0.0)
         within_objective = min(objective, request.budget - MIN_RESPONSE_MARGIN_S)
         return max(request.budget - RESPONSE_MARGIN_S, within_objective, request.budget / 2.0)
 
     def mark_answered(self, request: OpenRequest) -> None:
-        """Record that a request is owed nothing any more."""
+        """Record that a request needs no answer any more."""
         request.answered = True
         self.unanswered -= 1
 
@@ -103,16 +105,16 @@
         self.mark_answered(request)
         effects.answers.append(answer)
 
-    def answer_unserved(self, request: OpenRequest, why: Unserved, effects: Effects) -> None:
-        """Give the final answer of a request that was not served.
+    def answer_unserved(self, request: OpenRequest, unserved: Unserved, effects: Effects) -> None:
+        """Give a request that was not served its final answer.
 
-        It is a rejection, after which the client may retry, only where no attempt can have run.
+        It is rejected, so that the client may retry, only if no attempt can have run; otherwise it fails.
         """
         status = FinalStatus.FAILED if request.may_have_run() else FinalStatus.REJECTED
-        self.answer(request, FinalAnswer(request.id, status, unserved=why), effects)
+        self.answer(request, FinalAnswer(request.id, status, unserved=unserved), effects)
 
     def close_if_done(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Remove a request if it is answered and has no attempt in flight."""
         if request.is_done() and not request.closed:
             request.closed = True
             self._requests.pop(request.id, None)
--- a/indigokeel/requests/timer_queue.py
+++ b/indigokeel/requests/timer_queue.py
@@ -1,4 +1,7 @@
-"""Timers by clock time, which may belong to a request and are dropped with it. No I/O; reads no clock."""
+"""Timers by clock time. No I/O; the clock is passed in.
+
+A timer may have an owner, such as a request, and is dropped when its owner is closed.
+"""
 
 from __future__ import annotations
 
@@ -11,21 +14,22 @@
 
 TimerCallback = Callable[[float, Effects], None]
 
-_MAX_DROPPED = 256  # timers of closed owners that may stay in the heap, where they are not half of it
+# Timers of closed owners may stay in the heap up to this number, or while they are at most half of it.
+_MAX_DROPPED = 256
 
 
 class TimerOwner(Protocol):
-    """What a timer belongs to. Its timers no longer fire once it is closed."""
+    """The owner of a timer; the timer does not fire once its owner is closed."""
 
     closed: bool
     pending_timers: int
 
 
 class Timer(NamedTuple):
-    """One call at a clock time."""
+    """A callback that is due at a clock time."""
 
     due_at: float
-    serial: int  # keeps the order of timers that are due at the same time
+    serial: int  # timers that are due at the same time fire in the order in which they were scheduled
     callback: TimerCallback
     owner: TimerOwner | None
 
@@ -35,23 +39,23 @@
 
 
 class TimerQueue:
-    """A heap of timers. Those of closed owners are removed lazily, within a bound."""
+    """A heap of timers; those of closed owners are removed lazily, and their number is bounded."""
 
     def __init__(self) -> None:
         self._timers: list[Timer] = []
-        self._scheduled = 0
+        self._last_serial = 0
         self._dropped = 0
 
     def __len__(self) -> int:
-        """Return the number of timers in the heap, dropped ones included."""
+        """Return the number of timers in the heap, including dropped ones."""
         return len(self._timers)
 
     def schedule(self, due_at: float, callback: TimerCallback, owner: TimerOwner | None = None) -> None:
-        """Call ``callback`` at clock time ``due_at``, unless ``owner`` is closed by then."""
-        self._scheduled += 1
+        """Schedule ``callback`` for clock time ``due_at``, unless ``owner`` is closed by then."""
+        self._last_serial += 1
         if owner is not None:
             owner.pending_timers += 1
-        heapq.heappush(self._timers, Timer(due_at, self._scheduled, callback, owner))
+        heapq.heappush(self._timers, Timer(due_at, self._last_serial, callback, owner))
 
     def next_deadline(self) -> float:
         """Return the clock time of the next timer, or infinity if there is none."""
@@ -60,10 +64,10 @@
             self._dropped -= 1
         return self._timers[0].due_at if self._timers else math.inf
 
-    def take_due(self, now: float) -> list[Timer]:
+    def pop_due(self, now: float) -> list[Timer]:
         """Remove the timers that are due and return them in order.
 
-        A timer may be dropped after that by the callback of one before it.
+        The callback of one of them may still drop a later one.
         """
         due = []
         while self.next_deadline() <= now:
@@ -76,7 +80,8 @@
     def drop_timers_of(self, owner: TimerOwner) -> None:
         """Drop the timers of an owner that has just been closed.
 
-        A client may allow an hour for a request that is served at once, so dropped timers must not pile up.
+        A client may allow an hour for a request that is served at once, so dropped timers must not stay in
+        the heap until they are due.
         """
         self._dropped += owner.pending_timers
         if self._dropped > _MAX_DROPPED and self._dropped * 2 > len(self._timers):
--- a/indigokeel/requests/unserved.py
+++ b/indigokeel/requests/unserved.py
@@ -1,4 +1,4 @@
-"""Why a request was not served: the cause of an answer that is no success."""
+"""Why a request was not served: the cause of a rejected or failed final answer."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class UnservedCause(Enum):
-    """What ended a request without a response of an upstream. The value names its counter."""
+    """Why a request ended without an upstream's response; the value is part of its counter's name."""
 
     __hash__ = object.__hash__
 
-    LATENCY_OBJECTIVE = "latency_objective"  # the attempt was given up before the deadline
+    LATENCY_OBJECTIVE = "latency_objective"  # an attempt timed out before the deadline of its request
     DEADLINE = "deadline"
     BROKEN_CONNECTION = "broken_connection"
     UPSTREAM_ERROR = "upstream_error"
     UPSTREAM_REJECTION = "upstream_rejection"
     NO_CONNECTION = "no_connection"
-    NOT_SENT = "not_sent"  # by a check right before the first byte, or a local error
+    NOT_SENT = "not_sent"  # stopped by the check right before the first byte, or by a local error
     NO_UPSTREAM = "no_upstream"
     OVERLOAD = "overload"  # rejected without an attempt
     SHUTDOWN = "shutdown"
     INTERNAL_ERROR = "internal_error"
 
 
-_CAUSES = {
+_CAUSES_BY_OUTCOME = {
     AttemptOutcome.ERROR: UnservedCause.UPSTREAM_ERROR,
     AttemptOutcome.REJECTED: UnservedCause.UPSTREAM_REJECTION,
     AttemptOutcome.TIMED_OUT: UnservedCause.LATENCY_OBJECTIVE,
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unserved:
-    """An answer that is no success: its cause, and what became of the request."""
+    """Details of a request that was not served, for counters and the log."""
 
     cause: UnservedCause
     class_name: str
@@ -48,13 +48,16 @@
     elapsed_s: float = 0.0  # since the request was received
 
 
-def explain(
+def explain_unserved(
     now: float, request: OpenRequest, has_upstreams: bool, cause: UnservedCause | None = None
 ) -> Unserved:
-    """Return why a request is answered now; ``cause`` is known already or follows from its last attempt."""
+    """Return why a request that is answered now was not served.
+
+    ``cause`` overrides the cause that the deadline, the attempts and the endpoint list imply.
+    """
     last = request.attempts[-1] if request.attempts else None
     return Unserved(
-        cause or _cause(now, request, has_upstreams),
+        cause or _infer_cause(now, request, has_upstreams),
         request.class_name,
         last.upstream if last is not None else "",
         request.may_have_run(),
@@ -62,10 +65,10 @@
     )
 
 
-def _cause(now: float, request: OpenRequest, has_upstreams: bool) -> UnservedCause:
+def _infer_cause(now: float, request: OpenRequest, has_upstreams: bool) -> UnservedCause:
     if now >= request.respond_by:
         return UnservedCause.SHUTDOWN if request.limited_by_shutdown else UnservedCause.DEADLINE
     for attempt in reversed(request.attempts):
-        if attempt.outcome is not None and attempt.outcome in _CAUSES:
-            return _CAUSES[attempt.outcome]
+        if attempt.outcome is not None and attempt.outcome in _CAUSES_BY_OUTCOME:
+            return _CAUSES_BY_OUTCOME[attempt.outcome]
     return UnservedCause.OVERLOAD if has_upstreams else UnservedCause.NO_UPSTREAM
