--- a/indigokeel/process/__init__.py
+++ b/indigokeel/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process: start, reload, shutdown, supervision, and the wiring of all parts."""
+"""The sidecar process: startup, reload, shutdown, supervision, and the wiring of all components."""
--- a/indigokeel/process/admin_service.py
+++ b/indigokeel/process/admin_service.py
@@ -1,4 +1,4 @@
-"""What the operators' calls ask of the process: its health, and cordons."""
+"""Handles operators' calls to the admin server: health, cordon and uncordon."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Effects
 
-FIRST_LIST_TIMEOUT_S = 1.5  # after which a new process serves though discovery has not answered
+FIRST_LIST_TIMEOUT_S = 1.5  # after that a new process serves even if discovery has not answered
 
 
 class AdminService:
-    """Implements the admin server's ``Handler``."""
+    """Implements the admin server's ``AdminHandler``."""
 
     def __init__(
         self,
@@ -29,8 +29,8 @@
         persistence: StatePersistence | None,
         counters: Counters,
     ) -> None:
-        """Create the handler; without ``persistence`` cordons are kept in this process alone."""
-        self.accepting = False  # clients' connections are accepted
+        """Create the handler; without ``persistence`` cordons are kept in this process only."""
+        self.accepting = False  # client connections are accepted
         self._coordinator = coordinator
         self._executor = executor
         self._requests = requests
@@ -40,17 +40,17 @@
         self._started_at = time.monotonic()
 
     def serves(self) -> bool:
-        """Return True if the previous process may be stopped in favour of this one."""
+        """Return True if this process can replace the previous one, which may then be stopped."""
         waited = time.monotonic() - self._started_at
         has_list = self._discovery.answered or waited > FIRST_LIST_TIMEOUT_S
         return self.accepting and has_list and self._requests.is_healthy()
 
     def cordon(self, upstream: str, answer: Callable[[CallResult], None]) -> None:
-        """Cordon an upstream; ``answer`` is called once that is stored, or not."""
+        """Cordon an upstream; ``answer`` is called once the cordon is stored or that has failed."""
         self._answer_call("cordon", upstream, self._coordinator.cordon(time.monotonic(), upstream), answer)
 
     def uncordon(self, upstream: str, answer: Callable[[CallResult], None]) -> None:
-        """Lift a cordon; ``answer`` is called once that is stored, or not."""
+        """Uncordon an upstream; ``answer`` is called once the change is stored or that has failed."""
         effects = self._coordinator.uncordon(time.monotonic(), upstream)
         self._answer_call("uncordon", upstream, effects, answer)
 
@@ -64,8 +64,10 @@
         self._counters.log(f"{call} of {upstream}")
         self._counters.add(f"{call}s")
         self._executor.execute(effects)
-        if self._persistence is None:  # no other process would read it
+        if self._persistence is None:  # there is no state folder, so no other process could read the cordon
             answer(CallResult.STORED)
             return
-        # Stored before the call is answered, because it binds the next process too.
-        self._persistence.store(lambda stored: answer(CallResult.STORED if stored else CallResult.NOT_STORED))
+        # The cordon is stored before the call is answered, because it applies to the next process too.
+        self._persistence.store_cordons(
+            lambda stored: answer(CallResult.STORED if stored else CallResult.NOT_STORED)
+        )
--- a/indigokeel/process/connection_budget.py
+++ b/indigokeel/process/connection_budget.py
@@ -1,4 +1,4 @@
-"""How many connections the process may hold, by the descriptors that it is allowed."""
+"""How many connections the process may have, derived from its limit on descriptors."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from indigokeel.config import Config
 from indigokeel.net.admin import MAX_CONNECTIONS as MAX_ADMIN_CONNECTIONS
 
-# Descriptors kept for the log, discovery, the event loop and the system.
+# Descriptors reserved for the log, discovery, the event loop and the system.
 _RESERVED_DESCRIPTORS = 32
-# Of the others, for clients, whose number varies more; the rest is for upstreams.
-_CLIENT_RATIO = 0.55
-_MIN_CONNECTIONS = 8  # of each side
+# The part of the others that is for clients, whose number varies more; the rest is for upstreams.
+_CLIENT_FRACTION = 0.55
+_MIN_CONNECTIONS = 8  # minimum for clients and for upstreams, each
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBudget:
-    """The descriptors of the process, and the connections to clients and to upstreams among them."""
+    """The descriptors of the process, and how many of them are for clients and for upstreams."""
 
     descriptors: int
     clients: int
@@ -24,12 +24,12 @@
 
     @classmethod
     def plan(cls, config: Config, system_limit: int | None) -> ConnectionBudget:
-        """Divide the descriptors; ``system_limit`` is the system's limit on them, None for no limit."""
+        """Divide the descriptors; ``system_limit`` is the limit that the system sets, or None."""
         descriptors = config.sockets if system_limit is None else min(config.sockets, system_limit)
-        if config.listen_fd >= 0:  # the next process may run beside this one, within the same limits
+        if config.listen_fd >= 0:  # the next process may run at the same time, under the same limit
             descriptors //= 2
         if config.mgmt is not None:
             descriptors -= MAX_ADMIN_CONNECTIONS
         available = descriptors - _RESERVED_DESCRIPTORS
-        clients = max(int(available * _CLIENT_RATIO), _MIN_CONNECTIONS)
+        clients = max(int(available * _CLIENT_FRACTION), _MIN_CONNECTIONS)
         return cls(descriptors, clients, max(available - clients, _MIN_CONNECTIONS))
--- a/indigokeel/process/counter_report.py
+++ b/indigokeel/process/counter_report.py
@@ -1,4 +1,4 @@
-"""Prints the counters for the operators, together with figures of the present."""
+"""Prints the counters and the current state of the process for operators."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CounterReport:
-    """One line of JSON: all counters, and the state of the process."""
+    """One line of JSON with all counters and current figures of the process."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         upstream_client: UpstreamClient,
         lag_monitor: LagMonitor,
     ) -> None:
-        """Create a report on these parts."""
+        """Create a report on these components."""
         self._counters = counters
         self._coordinator = coordinator
         self._clients = clients
@@ -31,7 +31,7 @@
         self._lag_monitor = lag_monitor
 
     def print(self) -> None:
-        """Print the line on standard error."""
+        """Print the line to standard error."""
         connections = self._upstream_client.connections
         self._counters.dump(
             requests_unanswered=self._coordinator.unanswered,
@@ -42,6 +42,6 @@
             upstream_connections_open=self._upstream_client.open,
             upstream_connections_idle=connections.idle(),
             attempts_waiting=connections.waiting(),
-            loop_lag_ms=round(self._lag_monitor.lag * 1000.0, 1),
+            loop_lag_ms=round(self._lag_monitor.lag_s * 1000.0, 1),
             cpu_s=round(time.process_time(), 2),
         )
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of the coordinator: attempts, answers, health checks and calls to discovery."""
+"""Carries out the coordinator's effects: attempts, answers, health checks and calls to discovery."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class _WaitingClient:
-    """The connection that waits for the answer to a request, and what is sent to upstreams for it."""
+    """The client connection that waits for a request's answer, and the request to send to upstreams."""
 
     connection: ClientConnection
     outbound: OutboundRequest
 
 
 class EffectExecutor:
-    """Carries out effects, reports the outcomes of attempts and health checks, and keeps the timer set."""
+    """Carries out effects, reports the outcomes of attempts and health checks, and maintains the timer."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         supervisor: Supervisor,
         counters: Counters,
     ) -> None:
-        """Create an executor for the effects of ``coordinator``."""
+        """Create an executor of the effects of ``coordinator``."""
         self._coordinator = coordinator
         self._upstream_client = upstream_client
         self._discovery = discovery
@@ -49,28 +49,28 @@
         self._unserved_log = UnservedLog(counters)
         self.timer = DeadlineTimer(coordinator, self._run_due, supervisor)
 
-    def expect(self, request_id: str, client: ClientConnection, outbound: OutboundRequest) -> None:
-        """Send the answer to this request to ``client``."""
+    def register_client(self, request_id: str, client: ClientConnection, outbound: OutboundRequest) -> None:
+        """Register the client connection that is sent the answer to a request."""
         self._waiting[request_id] = _WaitingClient(client, outbound)
 
-    def forget(self, request_id: str) -> None:
-        """Send the answer to this request to nobody."""
+    def unregister_client(self, request_id: str) -> None:
+        """Drop the answer to a request, because its client has disconnected."""
         self._waiting.pop(request_id, None)
 
     def answer_all(self) -> None:
-        """Give every open request its final answer: from the coordinator, or, should that fail, a failure."""
-        self._supervisor.run_guarded("the last answers", self._run_due)
+        """Give each open request its final answer: the coordinator's, or a failure if it gives none."""
+        self._supervisor.run_guarded("answering the last requests", self._run_due)
         for request_id in list(self._waiting):
-            why = Unserved(UnservedCause.INTERNAL_ERROR, "unknown", may_have_run=True)
-            self._answer(FinalAnswer(request_id, FinalStatus.FAILED, unserved=why), None)
+            unserved = Unserved(UnservedCause.INTERNAL_ERROR, "unknown", may_have_run=True)
+            self._send_answer(FinalAnswer(request_id, FinalStatus.FAILED, unserved=unserved), None)
 
     def _run_due(self) -> None:
         self.execute(self._coordinator.tick(time.monotonic()))
 
     def execute(self, effects: Effects, response: UpstreamResponse | None = None) -> None:
-        """Carry out effects; ``response`` is the one that a served answer among them passes on.
+        """Carry out effects; ``response`` is the upstream response for a served answer among them.
 
-        An effect that raises costs what it is for, and none of the others.
+        An exception in one effect does not keep the others from being carried out.
         """
         guarded = self._supervisor.run_guarded
         for note in effects.notes:
@@ -78,37 +78,37 @@
         for request_id, number in effects.cancelled:
             guarded("cancelling an attempt", self._upstream_client.cancel_attempt, request_id, number)
         for attempt in effects.attempts:
-            self._start(attempt)
+            self._start_attempt(attempt)
         for answer in effects.answers:
-            self._answer(answer, response)
+            self._send_answer(answer, response)
         for upstream in effects.health_checks:
             self._supervisor.spawn("health check", self._check_health, upstream)
         for upstream in effects.close_idle:
             guarded("closing idle connections", self._upstream_client.close_idle, upstream)
         if effects.preconnect:
-            guarded("opening connections ahead", self._upstream_client.warm_up, effects.preconnect)
+            guarded("opening connections in advance", self._upstream_client.warm_up, effects.preconnect)
         if effects.watch:
             self._supervisor.keep_running("watch", self._discovery.watch)
         if effects.fetch:
             self._supervisor.keep_running("fetch", self._discovery.fetch)
-        self.timer.lower()
+        self.timer.bring_forward()
 
-    def _start(self, attempt: Attempt) -> None:
-        """Start an attempt. If that raises, it may have been written in part and counts as broken."""
+    def _start_attempt(self, attempt: Attempt) -> None:
+        """Start an attempt; if that raises, it is broken, because part of it may have been written."""
         waiting = self._waiting.get(attempt.request_id)
         if waiting is None:
             return
         try:
             self._upstream_client.send_attempt(attempt, waiting.outbound, self._attempt_ended)
         except Exception as error:
-            self._supervisor.fault("an attempt", error)
+            self._supervisor.record_fault("starting an attempt", error)
             cancel = self._upstream_client.cancel_attempt
             self._supervisor.run_guarded("cancelling an attempt", cancel, attempt.request_id, attempt.number)
             broken = UpstreamResponse(AttemptOutcome.BROKEN)
             asyncio.get_running_loop().call_soon(self._attempt_ended, attempt, broken)
 
-    def _answer(self, answer: FinalAnswer, response: UpstreamResponse | None) -> None:
-        """Pass a final answer to its client; the connection is closed if it cannot be written."""
+    def _send_answer(self, answer: FinalAnswer, response: UpstreamResponse | None) -> None:
+        """Send a final answer to its client; if that raises, close the connection."""
         self._counters.add("requests_" + answer.status.value)
         if answer.unserved is not None:
             now = time.monotonic()
@@ -122,8 +122,8 @@
             final = FinalResponse(answer.status, answer.retry_after_s, served)
             waiting.connection.send_final_response(final)
         except Exception as error:
-            self._supervisor.fault("an answer", error)
-            # In the next step of the loop, so that what was written by now is sent at the end of this one.
+            self._supervisor.record_fault("sending an answer", error)
+            # Abort in the next iteration of the event loop, so that this one sends what has been written.
             asyncio.get_running_loop().call_soon(waiting.connection.abort)
 
     def _attempt_ended(self, attempt: Attempt, response: UpstreamResponse) -> None:
--- a/indigokeel/process/endpoint_feed.py
+++ b/indigokeel/process/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Brings endpoint lists to the coordinator: the cached one of the start, then those of discovery."""
+"""Passes endpoint lists to the coordinator: the cached one at startup, then those of discovery."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class EndpointFeed:
-    """Applies each endpoint list, and the cached one at most once."""
+    """Applies each endpoint list of discovery, and the cached list at most once."""
 
     def __init__(self, coordinator: RequestCoordinator, execute: Callable[[Effects], None]) -> None:
-        """``execute`` carries out the effects of a list."""
+        """``execute`` carries out the effects of applying a list."""
         self._coordinator = coordinator
         self._execute = execute
         self._cached: EndpointList | None = None
-        self._learned: Any = None  # what the previous process had learnt; see ``learned_state``
+        self._learned: Any = None  # learned state of the previous process; see ``learned_state``
 
     def set_cached(self, endpoints: EndpointList, learned: Any) -> None:
-        """Set the list to start from, and what the previous process had learnt of its upstreams."""
+        """Set the list to start with, and the learned state of the previous process."""
         self._cached = endpoints
         self._learned = learned
 
     def apply_cached(self) -> None:
-        """Apply the cached list, unless it was applied before."""
+        """Apply the cached list, unless it has been applied already."""
         cached = self._cached
         if cached is None:
             return
@@ -39,9 +39,9 @@
             self._execute(self._coordinator.restore_learned_state(time.monotonic(), learned))
 
     def apply(self, update: EndpointList) -> None:
-        """Apply a list of discovery."""
+        """Apply a list from discovery."""
         self._execute(self._coordinator.update_endpoints(time.monotonic(), update))
 
     def watch_failed(self) -> None:
-        """Record that a call to discovery failed, or that a watch has ended."""
+        """Record that a call to discovery has failed or that a watch has ended."""
         self._execute(self._coordinator.endpoint_watch_failed(time.monotonic()))
--- a/indigokeel/process/lag_monitor.py
+++ b/indigokeel/process/lag_monitor.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop runs: what every request waits for it."""
+"""Measures the event loop lag, by which every request is delayed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LagMonitor:
-    """Samples the lag at a steady interval, and sets ``RequestService.overloaded``."""
+    """Samples the lag periodically, and sets ``RequestService.overloaded``."""
 
     def __init__(
         self,
@@ -22,15 +22,15 @@
         requests: RequestService,
         supervisor: Supervisor,
     ) -> None:
-        """Create a monitor that is not running."""
-        self.lag = 0.0  # seconds, of the latest sample
+        """Create a monitor that is not running yet."""
+        self.lag_s = 0.0  # of the latest sample
         self._coordinator = coordinator
         self._executor = executor
         self._requests = requests
         self._supervisor = supervisor
 
     def start(self) -> None:
-        """Take samples from now on."""
+        """Start taking samples."""
         self._schedule_sample(time.monotonic())
 
     def _schedule_sample(self, now: float) -> None:
@@ -40,9 +40,9 @@
     def _sample(self, due_at: float) -> None:
         now = time.monotonic()
         self._schedule_sample(now)
-        self.lag = max(now - due_at, 0.0)
+        self.lag_s = max(now - due_at, 0.0)
         self._supervisor.run_guarded("lag sample", self._report, now)
 
     def _report(self, now: float) -> None:
-        self._executor.execute(self._coordinator.sample_lag(now, self.lag))
+        self._executor.execute(self._coordinator.sample_lag(now, self.lag_s))
         self._requests.overloaded = self._coordinator.is_overloaded()
--- a/indigokeel/process/reload.py
+++ b/indigokeel/process/reload.py
@@ -1,4 +1,4 @@
-"""Reloads the configuration file: settings and discovery change together, or nothing does."""
+"""Reloads the configuration file: settings and discovery address change together, or not at all."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadTargets:
-    """The parts of the process that settings are applied to."""
+    """The components of the process to which new settings are applied."""
 
     coordinator: RequestCoordinator
     requests: RequestService
@@ -25,7 +25,7 @@
     discovery: DiscoveryClient
 
     def apply(self, settings: Settings) -> None:
-        """Apply settings to all of them; raise ValueError if they are invalid."""
+        """Apply settings to all components; raise ValueError if they are invalid."""
         limits = settings.limits
         self.coordinator.apply_settings(settings)
         self.upstream_client.apply_timeouts(limits.connect_timeout, limits.keepalive)
@@ -34,19 +34,19 @@
 
 
 class ConfigReloader:
-    """Holds the configuration in force, and replaces it as a whole."""
+    """Holds the configuration in force, and replaces it on a reload."""
 
     def __init__(
         self, config: Config, targets: ReloadTargets, supervisor: Supervisor, counters: Counters
     ) -> None:
-        """``config`` is the one that the process was started with."""
+        """``config`` is the configuration with which the process was started."""
         self.config = config
         self._targets = targets
         self._supervisor = supervisor
         self._counters = counters
 
     def reload(self) -> None:
-        """Read the file again and apply it, or log why the configuration stays as it is."""
+        """Read and apply the configuration file, or log why the configuration stays unchanged."""
         try:
             config = reload_config(os.environ, self.config)
         except ConfigError as error:
@@ -56,9 +56,9 @@
         previous = self.config
         try:
             self._apply(config)
-        except Exception as error:  # what was applied before the fault is undone
+        except Exception as error:  # undo what was applied before the exception
             self._counters.add("reloads_failed")
-            self._supervisor.fault("reload", error)
+            self._supervisor.record_fault("reload", error)
             self._apply(previous)
             return
         self._counters.add("reloads")
--- a/indigokeel/process/request_service.py
+++ b/indigokeel/process/request_service.py
@@ -1,4 +1,4 @@
-"""The request handler of the process: what client connections ask of it, and which of them make room."""
+"""The request handler of the process: serves client connections, and evicts some of them over the limit."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Request
 
-# Of the reserved descriptors: for new clients while the others are busy or have yet to read their answer.
+# Part of the reserved descriptors: for new clients while the other clients are busy or have not yet read
+# their response.
 _SPARE_CONNECTIONS = 12
-_MIN_BUDGET_S = 0.02  # of a request that arrives as the process ends
+_MIN_BUDGET_S = 0.02  # of a request that arrives during a shutdown
 
 
 class RequestService:
-    """Implements ``RequestHandler`` over the coordinator, and evicts client connections over the limit."""
+    """Implements ``RequestHandler`` with the coordinator, and evicts client connections over the limit."""
 
     def __init__(
         self,
@@ -33,10 +34,10 @@
         upstream_connections: ConnectionPool,
         counters: Counters,
     ) -> None:
-        """Create the handler of the connections in ``clients``."""
-        self.settings = settings  # those in force
-        self.closing = False  # no new connections are accepted, and each ends with its next answer
-        self.overloaded = False  # the process runs late, and may reject requests early
+        """Create the request handler of the connections in ``clients``."""
+        self.settings = settings  # the settings in force
+        self.closing = False  # the listener is closing; each connection closes after its next response
+        self.overloaded = False  # the event loop lags; requests may be rejected early
         self._coordinator = coordinator
         self._executor = executor
         self._clients = clients
@@ -51,34 +52,34 @@
         return self._coordinator.has_upstreams() and not self.closing
 
     def is_open(self, request_id: str) -> bool:
-        """Return True if a request of this id is open."""
+        """Return True if a request with this id is open."""
         return self._coordinator.is_open(request_id)
 
     def handle_request(
         self, client: ClientConnection, arrived: float, request: Request, outbound: OutboundRequest
     ) -> None:
-        """Serve a request; its final response goes to ``client``, perhaps before this returns."""
+        """Serve a request; its final response is passed to ``client``, possibly before this returns."""
         times = self._shutdown_times
-        self._executor.expect(request.id, client, outbound)
+        self._executor.register_client(request.id, client, outbound)
         self._clients.request_received(client)
-        if times is not None:  # it is answered while this process still runs
+        if times is not None:  # answer it before this process exits
             time_left_s = max(times.answer_by - arrived, _MIN_BUDGET_S)
             request.limited_by_shutdown = time_left_s < request.budget
             request.budget = min(request.budget, time_left_s)
         self._executor.execute(self._coordinator.pick(arrived, request))
-        if times is not None and request.long:  # its time starts with its last byte, and ends no later
+        if times is not None and request.long:  # its time limit starts later but has to end in time too
             self._coordinator.limit_deadlines(times.answer_by)
-            self._executor.timer.lower()
+            self._executor.timer.bring_forward()
 
     def request_body_received(self, request_id: str) -> None:
-        """Start the time of a request whose long body was received."""
+        """Start the time limit of a request whose streamed body has been received."""
         self._coordinator.request_body_received(time.monotonic(), request_id)
-        self._executor.timer.reset()
+        self._executor.timer.reschedule()
 
     def shed_early(
         self, client: ClientConnection, arrived: float, class_name: str, budget: float
     ) -> float | None:
-        """Return the seconds after which a rejected client may retry, or None to serve its request."""
+        """Return the seconds after which a rejected client may retry, or None to accept its request."""
         retry_after = self._coordinator.shed_early(arrived, class_name, budget)
         if self._shutdown_times is not None and time.monotonic() >= self._shutdown_times.take_until:
             retry_after = self.settings.limits.max_retry_after
@@ -88,25 +89,27 @@
 
     def client_disconnected(self, request_id: str) -> None:
         """End a request whose client has disconnected."""
-        self._executor.forget(request_id)
+        self._executor.unregister_client(request_id)
         self._executor.execute(self._coordinator.client_disconnected(time.monotonic(), request_id))
 
     # --- client connections ---------------------------------------------------------------------------
 
     def is_crowded(self) -> bool:
-        """Return True if there are so many client connections that each ends with its answer."""
+        """Return True if there are so many client connections that each closes after its response."""
         return self._clients.is_crowded()
 
     def connection_opened(self, client: ClientConnection) -> None:
-        """Register a connection, and evict others over the limit."""
+        """Register a connection, and evict connections over the limit."""
         self._counters.add("client_connections")
         self._clients.connection_opened(client, time.monotonic())
-        for spare in (0, _SPARE_CONNECTIONS):  # one that is sent an error first is closed with the next
+        # An evicted connection that is sent an error response first stays open for now, so another one is
+        # evicted if the spare descriptors are in use as well.
+        for spare in (0, _SPARE_CONNECTIONS):
             if self._clients.is_over_limit(spare):
                 self._evict_for(client)
 
     def connection_closing(self, client: ClientConnection) -> None:
-        """Record that a connection only waits for its peer to close."""
+        """Record that a connection is only waiting for its peer to close."""
         self._clients.connection_closing(client)
 
     def connection_closed(self, client: ClientConnection) -> None:
@@ -114,7 +117,7 @@
         self._clients.connection_closed(client)
 
     def _evict_for(self, newest: ClientConnection) -> None:
-        """Evict one connection in favour of the newest, perhaps the newest itself."""
+        """Evict one connection to make room for the newest; it may be the newest itself."""
         evicted = self._clients.select_eviction(newest, time.monotonic())
         if evicted is newest:
             if not self._clients.is_over_limit(_SPARE_CONNECTIONS):
@@ -126,7 +129,10 @@
             self.connection_closed(evicted)
 
     def make_room_for_backlog(self) -> None:
-        """Close one idle connection of each side: none can be accepted for want of descriptors or memory."""
+        """Close one idle client connection and one idle upstream connection.
+
+        Called when no connection can be accepted because descriptors or memory are exhausted.
+        """
         self._upstream_connections.shed_idle()
         evicted = self._clients.select_eviction_for_backlog(time.monotonic())
         if evicted is not None:
@@ -137,7 +143,7 @@
     # --- shutdown -------------------------------------------------------------------------------------
 
     def begin_shutdown(self, times: ShutdownTimes) -> None:
-        """Bound the requests that are open, and those that still arrive, by the times of a shutdown."""
+        """Limit the deadlines of open and future requests to the times of a shutdown."""
         self._shutdown_times = times
         self._coordinator.limit_deadlines(times.answer_by)
 
@@ -146,7 +152,7 @@
         return iter(self._clients)
 
     def answers_owed(self) -> bool:
-        """Return True if a request is open, or a byte of one is unread, or of an answer is unwritten."""
+        """Return True if a request is unanswered, input is unread or output is unwritten."""
         if self._coordinator.unanswered > 0:
             return True
         return any(
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: builds the parts of the process, connects them, and runs them from start to end."""
+"""The sidecar: builds and connects the components of the process, and runs them until it shuts down."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 from indigokeel.process.reload import ConfigReloader, ReloadTargets
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import Shutdown, ShutdownTimes
-from indigokeel.process.standstill import StandstillWatch
+from indigokeel.process.standstill import EventLoopWatchdog
 from indigokeel.process.state_persistence import StatePersistence
 from indigokeel.process.supervision import Supervisor
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Effects
 
-_ACCEPT_AFTER_SIGTERM_S = 0.5  # in which connections are still accepted
-_PARTIAL_REQUEST_S = 0.2  # after that, in which a request that has begun may still be completed
-_LAST_ACCEPTS_S = 0.01  # for the loop to accept what the system has queued before the listener is closed
+_ACCEPT_AFTER_SIGTERM_S = 0.5  # time during which new connections are still accepted
+_PARTIAL_REQUEST_S = 0.2  # time after that in which a partially received request may be completed
+_BACKLOG_ACCEPT_S = 0.01  # time to accept connections that the kernel queued before the listener closes
 _ADMIN_BIND_RETRY_S = 0.5
 HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
 
 class Sidecar:
-    """One process."""
+    """One sidecar process."""
 
     def __init__(self, config: Config) -> None:
-        """Build all parts; nothing runs before ``run``."""
+        """Build all components; nothing runs before ``run``."""
         self._counters = Counters(config.name)
         self._supervisor = Supervisor(self._counters)
         self._coordinator = RequestCoordinator(config.settings, config.seed, clocks.unix_to_clock())
@@ -126,21 +126,23 @@
 
     @property
     def accepting(self) -> bool:
-        """Whether client connections are accepted."""
+        """Whether new client connections are accepted."""
         return self._admin_service.accepting
 
     @property
     def closing(self) -> bool:
-        """Whether the listener is closed, and each connection ends with its next answer."""
+        """Whether the listener is closing; each client connection then closes after its next response."""
         return self._requests.closing
 
     # --- start ----------------------------------------------------------------------------------------
 
     async def run(self, listener: socket.socket) -> None:
-        """Serve on a bound socket until SIGTERM or SIGINT; return once every answer is written."""
+        """Serve on a bound socket until SIGTERM or SIGINT; return once all answers have been written."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(
-            lambda _, context: self._supervisor.fault(context.get("message", ""), context.get("exception"))
+            lambda _, context: self._supervisor.record_fault(
+                context.get("message", ""), context.get("exception")
+            )
         )
         signals = self._receive_signals(loop)
         async with asyncio.TaskGroup() as tasks:
@@ -149,7 +151,7 @@
             self._start_watch(loop)
             self._start_persistence()
             if self._reloader.config.mgmt is not None:
-                self._supervisor.keep_running("admin server", self._listen_for_operators)
+                self._supervisor.keep_running("admin server", self._start_admin_server)
             clients = self._accept_clients(loop, listener)
             self._start_housekeeping()
             self._lag_monitor.start()
@@ -157,7 +159,7 @@
             times = await self._shut_down(clients)
             if self._persistence is not None:
                 finish = self._persistence.finish
-                await self._supervisor.run_guarded_async("the last state", finish, times.exit_by)
+                await self._supervisor.run_guarded_async("saving the final state", finish, times.exit_by)
             self._supervisor.cancel_all()
         self._report_counters()
 
@@ -170,7 +172,7 @@
         return signals
 
     async def _restore_state(self) -> None:
-        """Restore what the previous process left, and choose the endpoint list to start from."""
+        """Restore the state of the previous process, and choose the endpoint list to start with."""
         cached = self._reloader.config.known
         learned = None
         if self._persistence is not None:
@@ -185,15 +187,17 @@
         if not self._discovery.pushed:
             self._endpoint_feed.apply_cached()
             return
-        # What the agent pushes binds from the start: the cached list is used only once the agent has
-        # answered, or has been silent for a while. Until then requests wait for an upstream.
+        # Lists that discovery pushes are authoritative from the start: the cached list is applied only once
+        # discovery has answered, or has been silent for a while. Until then requests wait for an upstream.
         self._supervisor.keep_running("watch", self._discovery.watch)
         loop.call_later(FIRST_LIST_TIMEOUT_S, self._endpoint_feed.apply_cached)
 
     def _start_persistence(self) -> None:
         if self._persistence is not None:
-            self._supervisor.keep_running("sync", self._persistence.synchronise, lambda: self.closing)
-            self._supervisor.keep_running("store", self._persistence.keep_stored)
+            self._supervisor.keep_running(
+                "state synchronisation", self._persistence.synchronise, lambda: self.closing
+            )
+            self._supervisor.keep_running("cordon store", self._persistence.keep_stored)
 
     def _accept_clients(self, loop: asyncio.AbstractEventLoop, listener: socket.socket) -> ClientListener:
         clients = ClientListener(
@@ -221,13 +225,13 @@
             self._clients,
             self._upstream_client,
             self._leak_detector,
-            StandstillWatch(self._counters),
+            EventLoopWatchdog(self._counters),
             self._supervisor,
         )
         self._supervisor.keep_running("housekeeping", housekeeping.run)
 
-    async def _listen_for_operators(self) -> None:
-        """Listen on the operators' address; one that is in use now may come free."""
+    async def _start_admin_server(self) -> None:
+        """Listen on the admin address, retrying because an address in use may become free."""
         address = self._reloader.config.mgmt
         while address is not None:
             try:
@@ -240,7 +244,7 @@
                 return
 
     async def _handle_signals(self, signals: asyncio.Queue[signal.Signals]) -> None:
-        """Handle signals until one that ends the process."""
+        """Handle signals until one requests a shutdown."""
         while (number := await signals.get()) not in (signal.SIGTERM, signal.SIGINT):
             if number == signal.SIGUSR1:
                 self._report_counters()
@@ -250,51 +254,51 @@
     # --- end ------------------------------------------------------------------------------------------
 
     async def _shut_down(self, clients: ClientListener) -> ShutdownTimes:
-        """Accept requests for a while, answer all of them before SIGKILL is due, and write the answers."""
+        """Accept requests for a while, then answer all of them and write the answers, before SIGKILL."""
         self._counters.log("stopping")
         guarded = self._supervisor.run_guarded
-        # With an inherited listener the next process accepts already.
-        shared = self._reloader.config.listen_fd >= 0
-        times = self._plan_shutdown(shared)
+        # An inherited listener is shared: the next process already accepts on it.
+        listener_shared = self._reloader.config.listen_fd >= 0
+        times = self._plan_shutdown(listener_shared)
         guarded("shutdown", self._requests.begin_shutdown, times)
-        self._executor.timer.reset()
-        if not shared:
+        self._executor.timer.reschedule()
+        if not listener_shared:
             await asyncio.sleep(_ACCEPT_AFTER_SIGTERM_S)
         self._requests.closing = True
         self._admin_service.accepting = False
-        await self._supervisor.run_guarded_async("closing the listener", clients.close, not shared)
-        if not shared:
-            await asyncio.sleep(_LAST_ACCEPTS_S)  # the clients accepted last may be about to write
-        await Shutdown(self._requests, self._supervisor, times, shared).run()
-        guarded("closing the operators' listener", self._admin.close)
+        await self._supervisor.run_guarded_async("closing the listener", clients.close, not listener_shared)
+        if not listener_shared:
+            await asyncio.sleep(_BACKLOG_ACCEPT_S)  # the clients accepted last may be about to send
+        await Shutdown(self._requests, self._supervisor, times, listener_shared).run()
+        guarded("closing the admin server", self._admin.close)
         return times
 
-    def _plan_shutdown(self, shared: bool) -> ShutdownTimes:
+    def _plan_shutdown(self, listener_shared: bool) -> ShutdownTimes:
         longest_deadline = max(cls.deadline for cls in self.settings.classes)
-        accept = 0.0 if shared else _ACCEPT_AFTER_SIGTERM_S + _LAST_ACCEPTS_S
+        accept = 0.0 if listener_shared else _ACCEPT_AFTER_SIGTERM_S + _BACKLOG_ACCEPT_S
         return ShutdownTimes.plan(time.monotonic(), longest_deadline, accept, _PARTIAL_REQUEST_S)
 
     # --- counters -------------------------------------------------------------------------------------
 
     def _other_descriptors(self) -> dict[int, str]:
-        """Return the descriptors in use that are no connection to an upstream."""
+        """Return the descriptors of connections other than those to upstreams, each with its use."""
         descriptors = {client.fd: "client" for client in self._clients}
         descriptors.update(dict.fromkeys(self._discovery.descriptors(), "discovery"))
         descriptors.update(dict.fromkeys(self._admin.descriptors(), "operator"))
         return descriptors
 
     def _report_counters(self) -> None:
-        """Print the counters for the operators; a fault in it costs nothing else."""
+        """Print the counters; an exception in this affects nothing else."""
         self._supervisor.run_guarded("descriptor audit", self._leak_detector.look)
         self._supervisor.run_guarded("counters", self._counter_report.print)
 
 
 def _descriptor_limit() -> int | None:
-    """Return the system's limit on descriptors of this process, None if there is none."""
+    """Return the soft limit on open descriptors of this process, or None if it is unlimited."""
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return None if soft == resource.RLIM_INFINITY else soft
 
 
 async def serve(config: Config, listener: socket.socket) -> None:
-    """Run one sidecar until a signal ends it."""
+    """Run one sidecar until a signal shuts it down."""
     await Sidecar(config).run(listener)
--- a/indigokeel/process/standstill.py
+++ b/indigokeel/process/standstill.py
@@ -1,4 +1,4 @@
-"""Reports an event loop that stands still because a step of it uses up the processor."""
+"""Watchdog: reports an event loop that is blocked by a step that uses up the processor."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from indigokeel.metrics import Counters
 
-_LIMIT_CPU_S = 1.0  # processor time without a call of ``progress``
-_MAX_FRAMES = 8  # innermost ones, of the reported stack
+_CPU_LIMIT_S = 1.0  # processor time without a call of ``reset`` after which the event loop counts as blocked
+_MAX_FRAMES = 8  # of the reported stack; the innermost ones
 
 
-class StandstillWatch:
-    """Logs the stack once in each standstill.
+class EventLoopWatchdog:
+    """Logs the stack of the main thread, once each time the event loop is blocked.
 
-    The timer counts processor time of the process, so that nothing is reported while the host is busy with
-    others. A step that never returns to the interpreter is not seen.
+    The timer counts the processor time of the process, so that nothing is reported while the host is busy
+    with other processes. A step that does not return to the interpreter is not detected.
     """
 
     def __init__(self, counters: Counters) -> None:
-        """``counters`` takes the count and the line of each standstill."""
+        """``counters`` counts and logs each report."""
         self._counters = counters
 
     def start(self) -> None:
-        """Watch from now on; ``progress`` has to be called at a steady interval."""
+        """Start watching; ``reset`` has to be called periodically."""
         signal.signal(signal.SIGPROF, self._report)
-        self.progress()
+        self.reset()
 
-    def progress(self) -> None:
-        """Note that the event loop runs."""
-        signal.setitimer(signal.ITIMER_PROF, _LIMIT_CPU_S)
+    def reset(self) -> None:
+        """Restart the timer, because the event loop is running."""
+        signal.setitimer(signal.ITIMER_PROF, _CPU_LIMIT_S)
 
     def stop(self) -> None:
-        """Stop watching, before the interpreter ends and the signal would end the process."""
+        """Stop watching: after the interpreter has shut down, the signal would kill the process."""
         signal.setitimer(signal.ITIMER_PROF, 0.0)
 
     def _report(self, _number: int, frame: FrameType | None) -> None:
--- a/indigokeel/process/state_persistence.py
+++ b/indigokeel/process/state_persistence.py
@@ -1,7 +1,7 @@
-"""Writes the state of this process for the next one, and merges what other processes wrote.
+"""Writes state snapshots for the next process, and merges those that other processes wrote.
 
-The processes of one sidecar share a folder (``hot_restart.state_files``). Each keeps a file in it with the
-cordons, the endpoint list and what the balancer has learnt (``hot_restart.snapshot``).
+The processes of one sidecar share a folder (``hot_restart.state_files``), in which each keeps a file with the
+cordons, the endpoint list and the learned state of its balancer (``hot_restart.snapshot``).
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Effects
 
-_POLL_INTERVAL_S = 0.05  # between two reads of what other processes wrote
-_WRITE_INTERVAL_S = 1.0  # between two writes of the own state
-_LEARNED_VALID_S = 5.0  # age up to which learned state of another process is used; cordons do not expire
-_START_RETRIES = 20  # reads, a poll interval apart, of a folder that fails as the process starts
+_POLL_INTERVAL_S = 0.05  # between reads of the files of other processes
+_WRITE_INTERVAL_S = 1.0  # between writes of this process's state
+_MAX_LEARNED_AGE_S = 5.0  # older learned state of another process is ignored; cordons do not expire
+_MAX_START_READS = 20  # of the folder at startup; a read that fails is retried after a poll interval
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What other processes of this sidecar left for a process that starts."""
+    """The state that other processes of this sidecar left for a process that starts."""
 
     known: EndpointList | None = None  # the newest endpoint list
-    learned: Any = None  # see ``learned_state``; None where it is too old
+    learned: Any = None  # see ``learned_state``; None if there is none or it is too old
 
 
 @dataclass(slots=True)
 class _ReadResult:
-    """What one read of the folder found that was not read before."""
+    """The result of one read of the files that had not been read before."""
 
-    snapshots: list[StateSnapshot] = field(default_factory=list)  # the newest first
-    files: int = 0  # unsound ones included
-    failed: bool = False  # the folder or a file in it could not be read just now
+    snapshots: list[StateSnapshot] = field(default_factory=list)  # newest first
+    files: int = 0  # including invalid ones
+    failed: bool = False  # the folder or a file in it could not be read
 
 
 class StatePersistence:
-    """The shared state of one process: restored at the start, written and merged while it runs."""
+    """Restores the state at startup, and writes it and merges that of other processes while running."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         execute: Callable[[Effects], None],
         list_version: Callable[[], int],
     ) -> None:
-        """``execute`` carries out effects; ``list_version`` returns the endpoint list's version."""
+        """``execute`` carries out effects; ``list_version`` returns the version of the endpoint list."""
         self._files = files
         self._coordinator = coordinator
         self._counters = counters
@@ -65,19 +65,20 @@
         self._list_version = list_version
         self._boot = clocks.boot_id()
         self._written_at = -math.inf  # clock time
-        self._learned: LearnedState | None = None  # as it was written last
+        self._learned: LearnedState | None = None  # as last written
         self._last_write_failed = False
-        self._unreadable: set[str] = set()  # names whose read failed last time, for it is logged once
+        # Names of files whose last read failed; a file is logged once while that lasts.
+        self._unreadable: set[str] = set()
         self._cordon_store = CordonStore(files, coordinator.cordons, self._encode_cordons, counters)
 
     # --- reading --------------------------------------------------------------------------------------
 
     async def restore(self) -> RestoredState:
-        """Merge and return what was left before this process started, retrying a folder that fails."""
+        """Merge and return the state left by other processes, retrying if it cannot be read."""
         known: EndpointList | None = None
         learned: LearnedState | None = None
         starts = None
-        for _ in range(_START_RETRIES):
+        for _ in range(_MAX_START_READS):
             result = self._merge_unread()
             for found in result.snapshots:
                 known = known or found.known
@@ -89,11 +90,11 @@
                 break
         if starts is not None:
             self._coordinator.restore_start_times(starts)
-        is_valid = learned is not None and time.monotonic() - learned.at < _LEARNED_VALID_S
+        is_valid = learned is not None and time.monotonic() - learned.at < _MAX_LEARNED_AGE_S
         return RestoredState(known, learned.figures if learned is not None and is_valid else None)
 
     def _merge_unread(self) -> _ReadResult:
-        """Read the files that were not read yet, and merge their cordons."""
+        """Read the files that have not been read yet, and merge their cordons."""
         try:
             names = self._files.list_unread(time.monotonic())
         except OSError as error:
@@ -108,7 +109,7 @@
                 self._record_unreadable(name, error)
                 unreadable.add(name)
                 continue
-            except Exception as error:  # SnapshotError, or a fault of the codec: costs this file alone
+            except Exception as error:  # SnapshotError or a codec fault; only this file is skipped
                 self._record_unreadable(name, error)
                 continue
             if found is not None:
@@ -124,10 +125,10 @@
     def _merge_cordons(self, found: StateSnapshot) -> None:
         self._execute(self._coordinator.merge_cordons(time.monotonic(), found.records))
         if self._coordinator.cordons.has_newer_than(found.records):
-            self._written_at = -math.inf  # written at once
+            self._written_at = -math.inf  # write the state without waiting for the interval
 
     def _record_unreadable(self, name: str, error: Exception) -> None:
-        """Count and log what cannot be read, once as long as that lasts."""
+        """Count and log a file or folder that cannot be read, once while that lasts."""
         if name not in self._unreadable:
             self._unreadable.add(name)
             self._counters.add("state_files_unreadable")
@@ -141,8 +142,8 @@
     def persist(self, closing: bool = False) -> None:
         """Write the state now.
 
-        While the process closes, its learned state stays as it was before: the failures of requests that are
-        cut off say nothing of the upstreams.
+        During a shutdown the learned state written last is kept, because the failures of requests that the
+        shutdown cuts off say nothing about the upstreams.
         """
         reading = self._clock_reading()
         now = reading.clock
@@ -157,7 +158,7 @@
             self._last_write_failed = False
         except OSError as error:
             self._counters.add("state_files_unwritten")
-            if not self._last_write_failed:  # logged once, not each second
+            if not self._last_write_failed:  # logged once per series of failures, not every second
                 self._counters.log(f"cannot write state for the next process: {error}", "warning")
             self._last_write_failed = True
 
@@ -165,24 +166,24 @@
         return snapshot.encode(self._clock_reading(), self._coordinator.cordons.records())
 
     async def synchronise(self, closing: Callable[[], bool]) -> None:
-        """Merge what other processes write, and write the own state, until cancelled."""
+        """Merge the state of other processes and write that of this process, until cancelled."""
         while True:
             await asyncio.sleep(_POLL_INTERVAL_S)
             try:
                 self._merge_unread()
-            except Exception as error:  # the own state is written whatever others left
+            except Exception as error:  # this process writes its state even if merging fails
                 self._record_unreadable("", error)
             if time.monotonic() - self._written_at > _WRITE_INTERVAL_S:
                 self.persist(closing())
-                # While the own files are not written, those of other processes may be the only ones.
+                # While this process cannot write its files, those of other processes may be the only copy.
                 if not self._last_write_failed and not self._cordon_store.is_behind():
                     self._files.remove_leftovers(time.monotonic())
 
     # --- cordons --------------------------------------------------------------------------------------
 
-    def store(self, callback: StoredCallback) -> None:
+    def store_cordons(self, callback: StoredCallback) -> None:
         """Call ``callback`` with True once all cordons are on disk, or with False after a time limit."""
-        self.persist()  # for the next process, should the sync fail or take long
+        self.persist()  # for the next process, in case the sync fails or takes long
         self._cordon_store.call_when_stored(callback)
 
     async def keep_stored(self) -> None:
@@ -190,6 +191,6 @@
         await self._cordon_store.run()
 
     async def finish(self, until: float) -> None:
-        """Leave the state as the process ends; wait for the cordons until clock time ``until`` at most."""
+        """Write the state at the end of the process; wait for the cordons until clock time ``until``."""
         self.persist(closing=True)
         await self._cordon_store.finish(until)
--- a/indigokeel/process/supervision.py
+++ b/indigokeel/process/supervision.py
@@ -1,4 +1,4 @@
-"""Background tasks of the process: started in one place, each fault logged and counted."""
+"""Background tasks of the process: they are started here, and their exceptions are logged and counted."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from indigokeel.metrics import Counters
 
-_RESTART_PAUSE_S = 0.05  # before the first restart of a loop; doubled with each further one
+_RESTART_PAUSE_S = 0.05  # before the first restart of a task; doubled for each further one
 _MAX_RESTART_PAUSE_S = 1.0
-_STABLE_RUN_S = 5.0  # after a run this long, the pauses start again from the first
+_STABLE_RUN_S = 5.0  # after a run longer than this, the pause is reset to the first
 
 P = ParamSpec("P")
 T = TypeVar("T")
@@ -27,64 +27,67 @@
         self._stopped = False
 
     def attach(self, group: asyncio.TaskGroup) -> None:
-        """Start tasks in ``group`` from now on."""
+        """Set the group in which tasks are started."""
         self._group = group
 
-    def spawn(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Run ``call(*args)`` as a task, which ``what`` names in the log.
+    def spawn(self, label: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Run ``call(*args)`` as a task; ``label`` names it in the log.
 
-        Nothing starts after ``cancel_all``, because the process would wait for it.
+        Nothing is started after ``cancel_all``, because the process would wait for it to end.
         """
         if self._stopped:
             return
         assert self._group is not None
-        task = self._group.create_task(self.run_guarded_async(what, call, *args))
+        task = self._group.create_task(self.run_guarded_async(label, call, *args))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def keep_running(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+    def keep_running(self, label: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
         """Run ``call(*args)`` as a task, restarted after an exception, until it returns or is cancelled."""
-        self.spawn(what, self._restart, what, call, *args)
+        self.spawn(label, self._restart, label, call, *args)
 
-    def run_guarded(self, what: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
-        """Call a step of a loop that continues whatever the step raises; return None if it raised."""
+    def run_guarded(self, label: str, call: Callable[P, T], *args: P.args, **kwargs: P.kwargs) -> T | None:
+        """Call a step of a loop that has to continue even if the step raises.
+
+        An exception is logged and counted; the result is None then.
+        """
         try:
             return call(*args, **kwargs)
         except Exception as error:
-            self.fault(what, error)
+            self.record_fault(label, error)
             return None
 
-    async def run_guarded_async(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
-        """Await ``call(*args)``; an exception is logged and counted, and takes nothing else along."""
+    async def run_guarded_async(self, label: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+        """Await ``call(*args)``; an exception is logged and counted, and does not stop other tasks."""
         try:
             await call(*args)
         except Exception as error:
-            self.fault(what, error)
+            self.record_fault(label, error)
 
-    def fault(self, what: str, error: BaseException | None) -> None:
-        """Log and count an exception that nothing handled."""
+    def record_fault(self, label: str, error: BaseException | None) -> None:
+        """Log and count an unhandled exception."""
         self._counters.add("task_faults")
-        self._counters.log(f"fault in {what}: {type(error).__name__}: {error}", "error")
+        self._counters.log(f"fault in {label}: {type(error).__name__}: {error}", "error")
 
-    def restarting(self, what: str, error: Exception) -> None:
-        """Log and count an exception that ended a loop, which is started again."""
-        self.fault(what, error)
+    def record_restart(self, label: str, error: Exception) -> None:
+        """Log and count an exception after which a task or timer is restarted."""
+        self.record_fault(label, error)
         self._counters.add("loop_restarts")
 
     def cancel_all(self) -> None:
-        """Cancel every task that still runs, and start no more."""
+        """Cancel all running tasks, and start no more."""
         self._stopped = True
         for task in list(self._tasks):
             task.cancel()
 
-    async def _restart(self, what: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
+    async def _restart(self, label: str, call: Callable[..., Awaitable[None]], *args: Any) -> None:
         pause = _RESTART_PAUSE_S
         while True:
             started_at = time.monotonic()
             try:
                 await call(*args)
             except Exception as error:
-                self.restarting(what, error)
+                self.record_restart(label, error)
             else:
                 return
             if time.monotonic() - started_at > _STABLE_RUN_S:
