--- a/tests/unit/requests/test_unserved.py
+++ b/tests/unit/requests/test_unserved.py
@@ -1,4 +1,4 @@
-"""Each answer that is no success says why."""
+"""Each rejected or failed final answer gives the cause."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from indigokeel.requests.effects import FinalAnswer, FinalStatus, Request
 from indigokeel.requests.unserved import Unserved, UnservedCause
 from tests.conftest import make_settings
-from tests.unit.requests.test_coordinator import NODES
+from tests.unit.requests.test_coordinator import ENDPOINTS
 
 
-def start(**limits: object) -> RequestCoordinator:
+def make_coordinator(**limits: object) -> RequestCoordinator:
     settings = make_settings(limits=Limits(max_attempts=1, **limits))  # type: ignore[arg-type]
     coordinator = RequestCoordinator(settings, 1, 0.0)
-    coordinator.update_endpoints(100.0, EndpointList(1, True, NODES), cached=True)
+    coordinator.update_endpoints(100.0, EndpointList(1, True, ENDPOINTS), cached=True)
     return coordinator
 
 
@@ -32,7 +32,7 @@
     return answers
 
 
-def why(answers: list[FinalAnswer]) -> Unserved:
+def unserved_details(answers: list[FinalAnswer]) -> Unserved:
     (answer,) = answers
     assert answer.unserved is not None
     return answer.unserved
@@ -51,27 +51,27 @@
 def test_outcome_of_the_last_attempt_is_the_cause(
     outcome: AttemptOutcome, cause: UnservedCause, may_have_run: bool
 ) -> None:
-    coordinator = start()
+    coordinator = make_coordinator()
     (attempt,) = coordinator.pick(100.0, Request("j", "pay", 1.0)).attempts
-    found = why(coordinator.report(100.25, attempt, outcome).answers)
+    found = unserved_details(coordinator.report(100.25, attempt, outcome).answers)
     assert found == Unserved(cause, "pay", attempt.upstream, may_have_run, 0.25)
 
 
-def test_attempt_that_is_given_up_at_the_objective_or_the_deadline() -> None:
+def test_attempt_that_times_out_at_the_latency_objective_or_the_deadline() -> None:
     for name, budget, cause in (
         ("view", 1.4, UnservedCause.LATENCY_OBJECTIVE),
         ("view", 0.3, UnservedCause.DEADLINE),
         ("pay", 1.4, UnservedCause.DEADLINE),
     ):
-        coordinator = start()
+        coordinator = make_coordinator()
         (attempt,) = coordinator.pick(100.0, Request("j", name, budget)).attempts
         assert coordinator.may_begin(100.0, attempt)
-        found = why(run_timers(coordinator))
+        found = unserved_details(run_timers(coordinator))
         assert (found.cause, found.may_have_run) == (cause, True)
 
 
-def test_request_that_the_end_of_the_process_cuts_off() -> None:
-    coordinator = start()
+def test_request_that_is_cut_off_by_a_shutdown() -> None:
+    coordinator = make_coordinator()
     (attempt,) = coordinator.pick(100.0, Request("open", "pay", 1.4)).attempts
     assert coordinator.may_begin(100.0, attempt)
     coordinator.limit_deadlines(100.2)
@@ -81,31 +81,34 @@
 
 
 def test_request_without_an_attempt() -> None:
-    coordinator = start()
+    coordinator = make_coordinator()
     coordinator.update_endpoints(100.0, EndpointList(2, True, ()))
     coordinator.pick(100.0, Request("j", "view", 1.0))
-    assert why(run_timers(coordinator)).cause is UnservedCause.NO_UPSTREAM
-    full = start(max_open_requests=1)
+    assert unserved_details(run_timers(coordinator)).cause is UnservedCause.NO_UPSTREAM
+    full = make_coordinator(max_open_requests=1)
     full.pick(100.0, Request("first", "view", 1.0))
-    assert why(full.pick(100.0, Request("second", "view", 1.0)).answers).cause is UnservedCause.OVERLOAD
+    assert (
+        unserved_details(full.pick(100.0, Request("second", "view", 1.0)).answers).cause
+        is UnservedCause.OVERLOAD
+    )
 
 
-def test_fault_of_the_balancer() -> None:
-    coordinator = start()
-    assert why(coordinator.pick(100.0, Request("j", "unknown class", 1.0)).answers) == Unserved(
+def test_fault_in_the_balancer() -> None:
+    coordinator = make_coordinator()
+    assert unserved_details(coordinator.pick(100.0, Request("j", "unknown class", 1.0)).answers) == Unserved(
         UnservedCause.INTERNAL_ERROR, "unknown class"
     )
 
 
-def test_loop_lag_is_that_of_the_newest_sample_or_of_an_overdue_one() -> None:
-    coordinator = start()
+def test_loop_lag_is_that_of_the_latest_sample_or_of_an_overdue_one() -> None:
+    coordinator = make_coordinator()
     assert coordinator.loop_lag_s(100.0) == 0.0
     coordinator.sample_lag(100.0, 0.02)
     assert coordinator.loop_lag_s(100.01) == pytest.approx(0.02)
     assert coordinator.loop_lag_s(100.35) == pytest.approx(0.3)
 
 
-def test_each_request_is_counted_and_one_of_a_kind_logged_now_and_then(
+def test_each_request_is_counted_and_similar_ones_are_logged_once_per_interval(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     lines: list[str] = []
