--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements and comparisons, run by hand; their results are in docs/capacity.md."""
+"""Benchmarks and comparisons of checkouts, run by hand; their results are in docs/capacity.md."""
--- a/benchmarks/compare_decisions.py
+++ b/benchmarks/compare_decisions.py
@@ -1,12 +1,13 @@
-"""Compare the decisions of two checkouts on the simulator's wire, byte for byte.
+"""Compare the decisions of two checkouts on the simulator's wire protocol, byte for byte.
 
-Each scenario is played interactively with the adapter of the first checkout: a seeded model of clients and
-upstreams (``simulated_traffic.py``) reads its replies and makes the next events. The recorded input then goes
-to the adapter of the second checkout in one piece, and both outputs must be equal. Exits 1 on a difference.
+Each scenario is first run interactively with the adapter of the base checkout: a seeded model of clients and
+upstreams (``simulated_traffic.py``) reads the replies and generates the next events. The recorded input is
+then replayed to the adapter of the new checkout, and both outputs must be equal. The exit code is 1 on a
+difference.
 
 Run as ``python -m benchmarks.compare_decisions BASE_CHECKOUT NEW_CHECKOUT [--scenarios N] [--seed N]
-[--quick]``; with ``--record`` and one checkout it prints the hash of its outputs alone. Reloads of settings
-and lag of the sidecar itself are not on this wire and are not compared.
+[--quick]``; with ``--record`` and one checkout it only prints the hash of that checkout's outputs. Settings
+reloads and the sidecar's own event loop lag are not part of this protocol and are not compared.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
 from benchmarks.simulated_traffic import Simulation
 from benchmarks.wire_scenarios import Scenario, named_scenarios, random_scenario
 
-RANDOM_SCENARIOS = 6  # drawn after the named ones by default
-QUICK_SECONDS = 2.5  # simulated time that a scenario lasts at most with --quick
-QUICK_EVERY = 2  # with --quick, one of so many scenarios is played
-SCENARIO_TIMEOUT_S = 30.0  # real time that an adapter may take for a scenario; with more it hangs
+RANDOM_SCENARIOS = 6  # generated in addition to the named scenarios by default
+QUICK_SECONDS = 2.5  # upper limit of the simulated duration of a scenario with --quick
+QUICK_STRIDE = 2  # with --quick, one in every QUICK_STRIDE scenarios is run
+SCENARIO_TIMEOUT_S = 30.0  # real time; an adapter that takes longer for a scenario is considered hung
 LOG_TEXT = re.compile(r"^(PRINT sidecar=\d+) .*$", re.MULTILINE)
-SHOWN_WIDTH = 160  # characters shown of a line that differs
+MAX_SHOWN_LENGTH = 160  # a differing line is cut off after so many
 
 
 class AdapterError(RuntimeError):
-    """Report an adapter that cannot be started or does not follow the wire."""
+    """Raised when an adapter cannot be started, fails, or violates the wire protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Recording:
-    """Hold what one scenario put in and what the base adapter answered."""
+    """The input of one scenario and the output of the base adapter, with counts of both."""
 
     input: str
     output: str
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Hold the first line in which two outputs differ; an output may also end before it."""
+    """The first line in which two outputs differ; one of the outputs may have ended before it."""
 
     line: int
     base: str
@@ -63,21 +64,23 @@
 
 
 def adapter_command(checkout: Path) -> list[str]:
-    """Return the command of a checkout's adapter, read from its deploy file, for this interpreter."""
+    """Return the command of a checkout's adapter, as its deploy file names it, for this interpreter."""
     deploy = tomllib.loads((checkout / "deploy" / "balancer.toml").read_text())
     words = shlex.split(deploy["sim"])
     if "-m" not in words[:-1]:
-        raise AdapterError(f"{checkout}: the sim command runs no module: {deploy['sim']!r}")
+        raise AdapterError(
+            f"{checkout}: the sim command in deploy/balancer.toml has no -m MODULE: {deploy['sim']!r}"
+        )
     return [sys.executable, "-B", "-m", words[words.index("-m") + 1]]
 
 
 def adapter_environment() -> dict[str, str]:
-    """Return the environment for adapters: modules come from their own checkout alone."""
+    """Return the adapters' environment: without PYTHONPATH, each imports its own checkout's modules only."""
     return {name: value for name, value in os.environ.items() if name != "PYTHONPATH"}
 
 
 def record(checkout: Path, scenario: Scenario, seed: int) -> Recording:
-    """Play a scenario with the adapter of a checkout."""
+    """Run a scenario interactively with the adapter of a checkout."""
     simulation = Simulation(scenario, seed)
     sent: list[str] = []
     received: list[str] = []
@@ -92,8 +95,8 @@
         encoding="utf-8",
     ) as adapter:
         assert adapter.stdin is not None and adapter.stdout is not None
-        guard = threading.Timer(SCENARIO_TIMEOUT_S, adapter.kill)
-        guard.start()
+        watchdog = threading.Timer(SCENARIO_TIMEOUT_S, adapter.kill)
+        watchdog.start()
         while (lines := simulation.next_batch()) is not None:
             batch = "\n".join(lines) + "\n"
             adapter.stdin.write(batch)
@@ -102,10 +105,10 @@
             sent.append(batch)
             received += reply
             batches += 1
-            simulation.carry_out(reply)
+            simulation.execute_actions(reply)
         adapter.stdin.close()
         received += adapter.stdout.read().splitlines()
-        guard.cancel()
+        watchdog.cancel()
     if adapter.returncode != 0:
         raise AdapterError(f"{checkout}: the adapter ended with {adapter.returncode}")
     output = "\n".join(received) + "\n"
@@ -115,18 +118,18 @@
 
 
 def read_reply(source: IO[str]) -> list[str]:
-    """Read the lines of one reply, to the one that ends it."""
+    """Read the lines of one reply, up to and including its DONE line."""
     lines: list[str] = []
     for line in source:
         lines.append(line.rstrip("\n"))
         if line.startswith("DONE"):
             return lines
-    raise AdapterError(f"the adapter's output ends within a reply, after {lines[-1:]}")
+    raise AdapterError(f"the adapter's output ended in the middle of a reply, after {lines[-1:]}")
 
 
 def replay(checkout: Path, recorded: str) -> str:
-    """Return what the adapter of a checkout answers to recorded input."""
-    done = subprocess.run(
+    """Return the output of a checkout's adapter for recorded input."""
+    completed = subprocess.run(
         adapter_command(checkout),
         input=recorded,
         stdout=subprocess.PIPE,
@@ -137,29 +140,29 @@
         timeout=SCENARIO_TIMEOUT_S,
         check=False,
     )
-    if done.returncode != 0:
-        raise AdapterError(f"{checkout}: the adapter ended with {done.returncode}")
-    return done.stdout
+    if completed.returncode != 0:
+        raise AdapterError(f"{checkout}: the adapter ended with {completed.returncode}")
+    return completed.stdout
 
 
 def without_log_text(output: str) -> str:
-    """Return an output with the free text of its log lines left out; the lines themselves stay."""
+    """Return an output in which each log line is kept but its free text is removed."""
     return LOG_TEXT.sub(r"\1", output)
 
 
 def first_difference(base: str, new: str) -> Difference | None:
-    """Return the first line in which the outputs differ; None where they are equal byte for byte."""
+    """Return the first line in which the outputs differ, or None if they are equal byte for byte."""
     if base == new:
         return None
     pairs = zip_longest(base.split("\n"), new.split("\n"), fillvalue="(end of the output)")
     for number, (base_line, new_line) in enumerate(pairs, 1):
         if base_line != new_line:
             return Difference(number, base_line, new_line)
-    raise AssertionError("outputs differ, but no line does")
+    raise AssertionError("the outputs differ, but none of their lines do")
 
 
 def choose_scenarios(number: int | None, seed: int, quick: bool) -> list[Scenario]:
-    """Return the named scenarios and random ones after them; ``number`` in all, if given."""
+    """Return the named scenarios followed by random ones, ``number`` in total if it is given."""
     named = named_scenarios()
     number = len(named) + RANDOM_SCENARIOS if number is None else number
     random = Random(f"{seed}/scenarios")
@@ -167,11 +170,11 @@
     chosen = [*named, *drawn][:number]
     if not quick:
         return chosen
-    return [replace(s, seconds=min(s.seconds, QUICK_SECONDS)) for s in chosen[::QUICK_EVERY]]
+    return [replace(s, seconds=min(s.seconds, QUICK_SECONDS)) for s in chosen[::QUICK_STRIDE]]
 
 
 def report(scenario: Scenario, recording: Recording, result: str) -> None:
-    """Print the line of one scenario."""
+    """Print the result of one scenario on one line."""
     fatal = f", {recording.fatal} FATAL" if recording.fatal else ""
     print(
         f"{scenario.name}: {recording.batches} batches, {recording.requests} requests, "
@@ -183,7 +186,7 @@
 def compare(
     base: Path, new: Path | None, scenarios: list[Scenario], seed: int, ignore_log_text: bool = False
 ) -> int:
-    """Play all scenarios and print a line for each; return how many differ."""
+    """Run all scenarios and print a line for each; return the number of scenarios that differ."""
     digest = hashlib.sha256()
     differing = 0
     for scenario in scenarios:
@@ -202,7 +205,10 @@
             continue
         differing += 1
         report(scenario, recording, f"first difference in line {difference.line}")
-        print(f"  base: {difference.base[:SHOWN_WIDTH]}\n  new:  {difference.new[:SHOWN_WIDTH]}", flush=True)
+        print(
+            f"  base: {difference.base[:MAX_SHOWN_LENGTH]}\n  new:  {difference.new[:MAX_SHOWN_LENGTH]}",
+            flush=True,
+        )
     print(
         f"{len(scenarios)} scenarios, {differing} differ; SHA-256 of the base outputs: {digest.hexdigest()}"
     )
@@ -210,20 +216,27 @@
 
 
 def main() -> int:
-    """Run the command; return 1 where outputs differ, 2 where an adapter fails."""
+    """Run the command; return 1 if outputs differ and 2 if an adapter fails."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("base", type=Path, metavar="BASE_CHECKOUT")
     parser.add_argument("new", type=Path, nargs="?", metavar="NEW_CHECKOUT")
-    parser.add_argument("--scenarios", type=int, metavar="N", help="how many; beyond the named ones random")
+    parser.add_argument(
+        "--scenarios",
+        type=int,
+        metavar="N",
+        help="number of scenarios; those beyond the named ones are random",
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--quick", action="store_true", help="fewer and shorter scenarios")
+    parser.add_argument("--quick", action="store_true", help="run fewer and shorter scenarios")
     parser.add_argument("--ignore-log-text", action="store_true", help="compare log lines without their text")
-    parser.add_argument("--record", action="store_true", help="play one checkout alone, for the hash")
+    parser.add_argument(
+        "--record", action="store_true", help="run a single checkout and print the hash of its outputs"
+    )
     options = parser.parse_args()
     if options.record == (options.new is not None):
-        parser.error("give two checkouts, or one with --record")
+        parser.error("two checkouts are needed, or one with --record")
     new = options.new.resolve() if options.new else None
     scenarios = choose_scenarios(options.scenarios, options.seed, options.quick)
     try:
