--- a/benchmarks/compare_decisions.py
+++ b/benchmarks/compare_decisions.py
@@ -35,7 +35,7 @@
 QUICK_STRIDE = 2  # with --quick, one in every QUICK_STRIDE scenarios is run
 SCENARIO_TIMEOUT_S = 30.0  # real time; an adapter that takes longer for a scenario is considered hung
 LOG_TEXT = re.compile(r"^(PRINT sidecar=\d+) .*$", re.MULTILINE)
-MAX_SHOWN_LENGTH = 160  # a differing line is cut off after so many
+MAX_SHOWN_LENGTH = 160  # characters shown of a differing line
 
 
 class AdapterError(RuntimeError):
--- a/benchmarks/compare_processes.py
+++ b/benchmarks/compare_processes.py
@@ -1,7 +1,7 @@
-"""Compare two checkouts of the program on sockets: bytes written, settings decoded, state passed on.
+"""Compare running processes of two checkouts: bytes written, settings decoded and state handed over.
 
 ``python3 -m benchmarks.compare_processes BASE_CHECKOUT NEW_CHECKOUT`` prints a line for each difference and
-exits with 1 where there is any. It uses only 127.0.0.0/8, and ports that are free.
+exits with 1 if there are any. It uses only addresses in 127.0.0.0/8 and free ports.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 
 def main() -> int:
-    """Run the comparisons; return 1 where anything differs, else 0."""
-    # Ended so, it still ends the processes that it has started.
+    """Run the comparisons; return 1 if anything differs, else 0."""
+    # An exit by exception on SIGTERM still stops the processes that the comparison has started.
     signal.signal(signal.SIGTERM, lambda number, _: sys.exit(128 + number))
     found = 0
     try:
@@ -31,20 +31,25 @@
             print(line, flush=True)
             found += 1
     except ComparisonError as error:
-        print(f"cannot be compared any further: {error}", flush=True)
+        print(f"comparison aborted: {error}", flush=True)
         found += 1
     print(f"{found} differences", flush=True)
     return 1 if found else 0
 
 
 def _arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="Compare two checkouts of the program on sockets.")
+    parser = argparse.ArgumentParser(description="Compare running processes of two checkouts.")
     parser.add_argument("base", type=Path, metavar="BASE_CHECKOUT")
     parser.add_argument("new", type=Path, metavar="NEW_CHECKOUT")
-    parser.add_argument("--only", choices=COMPARISONS, help="make one of the comparisons")
-    parser.add_argument("--scenario", default="", help="run only scenarios whose name contains this")
+    parser.add_argument("--only", choices=COMPARISONS, help="run only this comparison")
+    parser.add_argument("--scenario", default="", help="run only the scenarios whose names contain this")
     parser.add_argument(
-        "--settings", type=Path, nargs="+", default=[], metavar="FILE", help="decode these settings as well"
+        "--settings",
+        type=Path,
+        nargs="+",
+        default=[],
+        metavar="FILE",
+        help="also compare how these settings are decoded",
     )
     return parser.parse_args()
 
--- a/benchmarks/comparison/__init__.py
+++ b/benchmarks/comparison/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of ``benchmarks.compare_processes``, which compares two checkouts of the program on sockets."""
+"""The implementation of ``benchmarks.compare_processes``, which compares processes of two checkouts."""
--- a/benchmarks/comparison/bytes_comparison.py
+++ b/benchmarks/comparison/bytes_comparison.py
@@ -1,4 +1,4 @@
-"""Comparison 1: the bytes that both checkouts write in the same scenarios."""
+"""Compare the bytes that two checkouts write in the same scenarios."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 SCENARIOS: tuple[Scenario, ...] = (*CLIENT_SCENARIOS, *UPSTREAM_SCENARIOS, *OPERATION_SCENARIOS)
 
 
-# A machine that holds a process up once makes a timing figure smaller once. Where nothing else differs, both
-# sides are recorded anew, and the figure counts as different if it is so each time.
+# A delay of a process on a busy machine makes a timing value smaller in a single recording. If only timing
+# values differ, both sides are recorded again; a difference counts only if it shows in every recording.
 MAX_RECORDINGS = 3
 
 
 def compare_bytes(base: Path, new: Path, only: str = "") -> Iterator[str]:
-    """Yield a line for each difference. ``only`` restricts it to scenarios whose name contains it."""
+    """Yield a line for each difference, in the scenarios whose names contain ``only``."""
     for scenario in SCENARIOS:
         if only in scenario.name:
             yield from (difference.line for difference in _compare(scenario, base, new))
--- a/benchmarks/comparison/discovery.py
+++ b/benchmarks/comparison/discovery.py
@@ -1,4 +1,4 @@
-"""A scripted discovery on 127.0.0.1, and endpoint lists as it writes them."""
+"""A scripted discovery service on 127.0.0.1, and the endpoint lists that it sends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benchmarks.comparison.messages import Message, read_message
 from benchmarks.comparison.upstreams import Server, reset_on_close
 
-HEARTBEAT_INTERVAL_S = 1.0  # between empty lines of a watch; the protocol has one each 2 s
+HEARTBEAT_INTERVAL_S = 1.0  # between empty lines of a watch; the protocol sends one every 2 s
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -25,7 +25,7 @@
     group: int = 1
 
     def encoded(self) -> dict[str, object]:
-        """Return the entry as discovery writes it."""
+        """Return the entry as the JSON object that discovery sends."""
         return {
             "name": self.name,
             "address": self.address,
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A whole list, or what changed since the version before."""
+    """A snapshot of the list, or an update with the changes since the previous index."""
 
     index: int
     endpoints: tuple[Endpoint, ...]
     snapshot: bool = True
 
     def encoded(self) -> dict[str, object]:
-        """Return the list as discovery writes it."""
+        """Return the list as the JSON object that discovery sends."""
         entries = [endpoint.encoded() for endpoint in self.endpoints]
         return {"index": self.index, "snapshot": self.snapshot, "endpoints": entries}
 
@@ -57,47 +57,49 @@
 
 
 class Watch:
-    """One watch that is open."""
+    """An open watch."""
 
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
         self._lock = threading.Lock()
 
     def push(self, line: bytes) -> None:
-        """Write one line as a chunk."""
+        """Write a line in a chunk of its own."""
         with self._lock:
             self._connection.sendall(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
 
     def reset(self) -> None:
-        """Break the watch off."""
+        """Reset the connection of the watch."""
         reset_on_close(self._connection)
-        self._connection.shutdown(socket.SHUT_RD)  # wakes the thread that serves it, which closes it
+        self._connection.shutdown(
+            socket.SHUT_RD
+        )  # wakes the thread that serves the connection, which closes it
 
 
 class Discovery(Server):
-    """A discovery that keeps each watch open, and answers other calls and refusals as it is set to."""
+    """A discovery service that keeps watches open; its responses to other calls can be set."""
 
     def __init__(self) -> None:
         self.received: list[Message] = []
         self.watches: list[Watch] = []
-        self.first_lines: list[bytes] = []  # of each watch, as it begins
-        self.refusals: list[bytes] = []  # responses to the next calls, in place of a watch
-        self.whole_list: Callable[[], bytes] = EndpointList(0, ()).line
+        self.initial_lines: list[bytes] = []  # sent at the start of each watch
+        self.scripted_responses: list[bytes] = []  # sent to the next calls, whatever they ask for
+        self.full_list: Callable[[], bytes] = EndpointList(0, ()).line
         self._stopped = threading.Event()
         super().__init__()
 
     def serve(self, connection: socket.socket) -> None:
-        """Answer one call."""
+        """Answer the one call of a connection."""
         with connection, connection.makefile("rb") as file:
             message = read_message(file)
             if message is None:
                 return
             self.received.append(message)
-            if self.refusals:
-                connection.sendall(self.refusals.pop(0))
+            if self.scripted_responses:
+                connection.sendall(self.scripted_responses.pop(0))
                 return
             if "watch=1" not in message.target:
-                body = self.whole_list()
+                body = self.full_list()
                 connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
                 return
             connection.sendall(WATCH_HEAD)
@@ -106,14 +108,14 @@
     def _keep_watch(self, connection: socket.socket, read: Callable[[int], bytes]) -> None:
         """Keep a watch alive until the program or ``Watch.reset`` ends it."""
         watch = Watch(connection)
-        for line in self.first_lines:
+        for line in self.initial_lines:
             watch.push(line)
         self.watches.append(watch)
-        heartbeat = threading.Thread(target=self._beat, args=(watch,), daemon=True)
+        heartbeat = threading.Thread(target=self._send_heartbeats, args=(watch,), daemon=True)
         heartbeat.start()
         read(1)
 
-    def _beat(self, watch: Watch) -> None:
+    def _send_heartbeats(self, watch: Watch) -> None:
         while not self._stopped.wait(HEARTBEAT_INTERVAL_S):
             try:
                 watch.push(b"")
@@ -121,6 +123,6 @@
                 return
 
     def close(self) -> None:
-        """Stop listening and the heartbeats."""
+        """Stop listening, and stop the heartbeats."""
         self._stopped.set()
         super().close()
--- a/benchmarks/comparison/messages.py
+++ b/benchmarks/comparison/messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the scripted peers write and read them, byte for byte."""
+"""Reading and writing of HTTP/1.1 messages by the scripted peers, byte for byte."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from typing import BinaryIO
 
 LINE_END = b"\r\n"
-PEER_TIMEOUT_S = 20.0  # for anything that is waited for; only a failing comparison waits as long
+PEER_TIMEOUT_S = 20.0  # for every wait; reached only if a comparison fails
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message as it was read: the bytes of its head, and its body without the framing of chunks."""
+    """A message that was read: the bytes of its head, and its body without chunk framing."""
 
     head: bytes
     body: bytes = b""
-    whole: bool = True  # else it breaks off within its body
+    complete: bool = True  # False if the stream ended within the body
 
     def header(self, name: str) -> str:
-        """Return the value of a header, or an empty string where there is none."""
+        """Return the value of a header, or an empty string if there is none."""
         prefix = name.lower().encode() + b":"
         for line in self.head.split(LINE_END)[1:]:
             if line.lower().startswith(prefix):
@@ -42,7 +42,7 @@
 
 
 def read_message(file: BinaryIO) -> Message | None:
-    """Read one message, or return None at the end of the stream; one that breaks off is returned as it is."""
+    """Read a message, which may be truncated; return None at the end of the stream."""
     head = _read_head(file)
     if not head:
         return None
@@ -71,11 +71,11 @@
         file.readline()
         if size == 0:
             return Message(head, body)
-    return Message(head, body, whole=False)
+    return Message(head, body, complete=False)
 
 
 def chunked(body: bytes, chunk_size: int) -> bytes:
-    """Return a body framed in chunks of one size."""
+    """Return a body in chunked framing, in chunks of the same size."""
     framed = b""
     for start in range(0, len(body), chunk_size):
         chunk = body[start : start + chunk_size]
@@ -106,6 +106,6 @@
 
 
 def response(status: int, body: bytes = b"", headers: str = "") -> bytes:
-    """Return a response with its length. ``headers`` holds further header lines."""
+    """Return a response with a Content-Length. ``headers`` holds further header lines."""
     head = f"HTTP/1.1 {status} Text\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
--- a/benchmarks/comparison/program.py
+++ b/benchmarks/comparison/program.py
@@ -1,4 +1,4 @@
-"""The program of one checkout as a process, started as ``run`` of ``deploy/balancer.toml`` starts it."""
+"""A sidecar process of one checkout, started like the ``run`` command of ``deploy/balancer.toml``."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from benchmarks.comparison.messages import PEER_TIMEOUT_S, Message, read_message
 
 POLL_INTERVAL_S = 0.005
-INHERITED_DESCRIPTOR = 7  # of the listening socket that the platform hands on
+INHERITED_DESCRIPTOR = 7  # the descriptor of the listening socket that the process inherits
 SEED = "8c1f30d27a5be964"
 
-# Addresses that are this process's own: a port that is free there when asked for stays so.
-_HIGH, _LOW = os.getpid() >> 8 & 255, os.getpid() & 255 or 1
-OPERATOR_HOST = f"127.11.{_HIGH}.{_LOW}"
-CLIENT_HOST = f"127.12.{_HIGH}.{_LOW}"
+# The addresses are derived from this process's id, so that no other process takes a port found free there.
+_HIGH_OCTET, _LOW_OCTET = os.getpid() >> 8 & 255, os.getpid() & 255 or 1
+ADMIN_HOST = f"127.11.{_HIGH_OCTET}.{_LOW_OCTET}"
+CLIENT_HOST = f"127.12.{_HIGH_OCTET}.{_LOW_OCTET}"
 
 HEALTH_CHECK = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -57,57 +57,57 @@
 
 
 class ComparisonError(Exception):
-    """What was waited for did not come about."""
+    """Raised when a comparison cannot go on, for example because a wait timed out."""
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait for a condition; raise ComparisonError naming ``what`` where it does not come about."""
+    """Wait for a condition; raise ComparisonError naming ``what`` after PEER_TIMEOUT_S."""
     end = time.monotonic() + PEER_TIMEOUT_S
     while not condition():
         if time.monotonic() > end:
-            raise ComparisonError(f"waited in vain: {what}")
+            raise ComparisonError(f"timed out waiting for {what}")
         time.sleep(POLL_INTERVAL_S)
 
 
 def free_port(host: str) -> int:
-    """Return a port that is free at a host."""
+    """Return a free port of a local address."""
     with socket.create_server((host, 0)) as server:
         return int(server.getsockname()[1])
 
 
 @dataclass(frozen=True)
 class Options:
-    """How a process is started."""
+    """The configuration and the environment with which a process is started."""
 
-    discovery: str  # address
+    discovery: str  # its address
     known: EndpointList
     settings: dict[str, Any] = field(default_factory=lambda: BASIC_SETTINGS)
-    operators: bool = False
+    admin_enabled: bool = False
     state_folder: Path | None = None
-    listener: socket.socket | None = None  # inherited, in place of an address of its own
-    broken_configuration: bytes | None = None  # in place of the file that the rest makes
+    listener: socket.socket | None = None  # inherited by the process, which otherwise opens its own
+    raw_configuration: bytes | None = None  # content of the configuration file, in place of the generated one
 
 
 class Program:
-    """One process of one checkout."""
+    """A sidecar process of one checkout."""
 
     def __init__(self, checkout: Path, folder: Path, options: Options) -> None:
-        """``folder`` takes the configuration file and what is written on standard error."""
+        """Start the process; its configuration file and standard error are written to ``folder``."""
         self._options = options
         self.client_address = (CLIENT_HOST, free_port(CLIENT_HOST))
         if options.listener is not None:
             self.client_address = options.listener.getsockname()
-        self.operator_address = (OPERATOR_HOST, free_port(OPERATOR_HOST))
+        self.admin_address = (ADMIN_HOST, free_port(ADMIN_HOST))
         self.configuration_file = folder / f"configuration-{self.client_address[1]}.json"
         self.configure(options.settings)
-        if options.broken_configuration is not None:
-            self.configuration_file.write_bytes(options.broken_configuration)
-        self._log_file = folder / f"log-{self.operator_address[1]}"
+        if options.raw_configuration is not None:
+            self.configuration_file.write_bytes(options.raw_configuration)
+        self._log_file = folder / f"log-{self.admin_address[1]}"
         with self._log_file.open("wb") as log:
             self.process = self._start(checkout, log.fileno())
 
     def configure(self, settings: dict[str, Any], discovery: str = "") -> None:
-        """Write the configuration file with these settings."""
+        """Write the configuration file with these settings and, if given, another discovery address."""
         options = self._options
         host, port = self.client_address
         data = {
@@ -123,8 +123,8 @@
 
     def _environment(self) -> dict[str, str]:
         environment = {"PATH": os.environ["PATH"], "BALANCER_CONFIG": str(self.configuration_file)}
-        if self._options.operators:
-            host, port = self.operator_address
+        if self._options.admin_enabled:
+            host, port = self.admin_address
             environment["BALANCER_MGMT"] = f"{host}:{port}"
         if self._options.state_folder is not None:
             environment["TMPDIR"] = str(self._options.state_folder)
@@ -148,16 +148,18 @@
         )
 
     def wait_ready(self) -> None:
-        """Wait until the process answers health checks, or operators' ones where it has their address."""
-        wait_until(self._ready, "the program's start")
+        """Wait until the process answers health checks, at its admin address if it has one."""
+        wait_until(self._ready, "the start of the process")
 
     def _ready(self) -> bool:
         if self.process.poll() is not None:
             last_line = self._log_file.read_text().rstrip().rpartition("\n")[2]
-            raise ComparisonError(f"ended with {self.process.returncode} at its start: {last_line}")
+            raise ComparisonError(
+                f"the process exited with {self.process.returncode} while starting: {last_line}"
+            )
         try:
-            if self._options.operators:
-                return self.call_operator("GET", "health").status == 200
+            if self._options.admin_enabled:
+                return self.call_admin("GET", "health").status == 200
             return self.exchange(HEALTH_CHECK).status in (200, 503)
         except OSError:
             return False
@@ -167,34 +169,34 @@
         return socket.create_connection(self.client_address, timeout=PEER_TIMEOUT_S)
 
     def exchange(self, data: bytes) -> Message:
-        """Write one request on a connection of its own, and return its response."""
+        """Send a request on a new connection, and return the response."""
         with self.connect() as connection, connection.makefile("rb") as file:
             connection.sendall(data)
-            return _required(read_message(file))
+            return _require_response(read_message(file))
 
-    def call_operator(self, method: str, call: str, upstream: str = "") -> Message:
-        """Make an operator's call, and return its response."""
+    def call_admin(self, method: str, call: str, upstream: str = "") -> Message:
+        """Send a request to the admin address, and return the response."""
         body = json.dumps({"who": upstream}) if upstream else ""
         head = f"{method} /admin/{call} HTTP/1.1\r\nHost: a\r\nContent-Length: {len(body)}\r\n\r\n"
-        with socket.create_connection(self.operator_address, timeout=PEER_TIMEOUT_S) as connection:
+        with socket.create_connection(self.admin_address, timeout=PEER_TIMEOUT_S) as connection:
             connection.sendall((head + body).encode())
-            return _required(read_message(connection.makefile("rb")))
+            return _require_response(read_message(connection.makefile("rb")))
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
     def wait(self) -> int:
-        """Wait for the end, and return the exit code."""
+        """Wait until the process exits, and return its exit code."""
         return self.process.wait(PEER_TIMEOUT_S)
 
     def kill(self) -> None:
-        """End the process where it has not ended."""
+        """Kill the process if it is still running, and wait until it has exited."""
         self.process.kill()
         self.process.wait()
 
 
-def _required(message: Message | None) -> Message:
+def _require_response(message: Message | None) -> Message:
     if message is None:
         raise ConnectionError("closed without a response")
     return message
--- a/benchmarks/comparison/settings_comparison.py
+++ b/benchmarks/comparison/settings_comparison.py
@@ -1,4 +1,4 @@
-"""Comparison 2: the values that both checkouts decode the same settings to."""
+"""Compare the values that two checkouts decode from the same settings."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from benchmarks.comparison.program import ComparisonError
 from benchmarks.comparison.settings_samples import SAMPLES, Sample
 
-SETTINGS_KEY = "settings"  # of a whole configuration file
+SETTINGS_KEY = "settings"  # of a complete configuration file
 
 
 def read_samples(files: list[Path]) -> list[Sample]:
-    """Return the settings that files hold: a settings object each, or a configuration with one."""
+    """Return the settings in files that contain either a settings object or a complete configuration."""
     samples = []
     for file in files:
         content = json.loads(file.read_bytes())
@@ -29,7 +29,7 @@
 
 
 def decode(checkout: Path, samples: list[Sample]) -> list[Any]:
-    """Return what a checkout decodes the samples to, in a process of its own."""
+    """Return the values that a checkout decodes from the samples, in a process of its own."""
     command = [sys.executable, "-B", "-P", str(Path(settings_decoder.__file__))]
     result = subprocess.run(
         command,
@@ -41,13 +41,13 @@
     )
     if result.returncode:
         last_line = result.stderr.decode().rstrip().rpartition("\n")[2]
-        raise ComparisonError(f"{checkout} cannot decode: {last_line}")
+        raise ComparisonError(f"{checkout}: the settings decoder failed: {last_line}")
     decoded: list[Any] = json.loads(result.stdout)
     return decoded
 
 
 def compare_settings(base: Path, new: Path, files: list[Path]) -> Iterator[str]:
-    """Yield a line for each sample and each file that is decoded to other values."""
+    """Yield a line for each sample or file that the checkouts decode to different values."""
     samples = [*SAMPLES, *read_samples(files)]
     try:
         decoded = zip(samples, decode(base, samples), decode(new, samples), strict=True)
@@ -55,11 +55,11 @@
         yield f"settings: {error}"
         return
     for sample, before, after in decoded:
-        mine, theirs = canonical(before), canonical(after)
+        mine, theirs = canonical_json(before), canonical_json(after)
         if mine != theirs:
             yield f"settings: {sample.name}: BASE {mine} NEW {theirs}"
 
 
-def canonical(value: Any) -> str:
-    """Return the JSON of a decoded value in which equal values, and only these, look the same."""
+def canonical_json(value: Any) -> str:
+    """Return the JSON of a decoded value in a form that is the same for equal values only."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"))
--- a/benchmarks/comparison/settings_decoder.py
+++ b/benchmarks/comparison/settings_decoder.py
@@ -1,7 +1,7 @@
-"""Decode settings objects with the checkout whose package is on the path; run by ``settings_comparison``.
+"""Decode settings objects with the checkout that PYTHONPATH names; run by ``settings_comparison``.
 
-Reads a JSON list of settings objects on standard input, and prints a JSON list of the values that the
-checkout's ``decode_settings`` makes of them. Fields are identified by their position alone, since the names
+Reads a JSON list of settings objects from standard input, and prints a JSON list of the values that the
+checkout's ``decode_settings`` returns for them. Fields are identified by their position only, since the names
 of fields, classes and modules may differ between two checkouts.
 """
 
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import Any
 
-# Modules that may hold ``decode_settings``, the first that can be imported and has it counts.
+# Modules that may define ``decode_settings``; the first one that can be imported and defines it is used.
 DECODER_MODULES = (
     "indigokeel.config",
     "indigokeel.config.decoder",
@@ -28,12 +28,14 @@
 
 
 def find_decoder() -> Callable[[Any], Any]:
-    """Return the checkout's decoder; raises ImportError where no known module has it."""
+    """Return the checkout's decoder; raise ImportError if none of the known modules defines it."""
     for name in DECODER_MODULES:
         try:
             module = importlib.import_module(name)
         except ModuleNotFoundError as error:
-            if error.name is None or not name.startswith(error.name):  # a fault within the module itself
+            if error.name is None or not name.startswith(
+                error.name
+            ):  # the module exists, but one of its own imports fails
                 raise
             continue
         if hasattr(module, DECODER_NAME):
@@ -42,27 +44,27 @@
     raise ImportError(f"{DECODER_NAME} is in none of {', '.join(DECODER_MODULES)}")
 
 
-def positional(value: Any) -> Any:
-    """Return a decoded value with tuples of field values, in the order of declaration, for records."""
+def to_positional(value: Any) -> Any:
+    """Return a decoded value with each dataclass replaced by the list of its field values, in order."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return [positional(getattr(value, field.name)) for field in dataclasses.fields(value)]
+        return [to_positional(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, Enum):
-        return positional(value.value)
+        return to_positional(value.value)
     if isinstance(value, tuple | list):
-        return [positional(item) for item in value]
+        return [to_positional(item) for item in value]
     if isinstance(value, dict):
-        return {str(key): positional(item) for key, item in value.items()}
+        return {str(key): to_positional(item) for key, item in value.items()}
     return value
 
 
 def main() -> None:
-    """Decode what comes on standard input."""
+    """Decode the settings on standard input."""
     decode = find_decoder()
     decoded = []
     for settings in json.load(sys.stdin):
         try:
-            decoded.append(positional(decode(settings)))
-        except ValueError:  # the base of every checkout's own error
+            decoded.append(to_positional(decode(settings)))
+        except ValueError:  # the base class of the settings error of every checkout
             decoded.append(REJECTED)
     json.dump(decoded, sys.stdout)
 
--- a/benchmarks/comparison/settings_samples.py
+++ b/benchmarks/comparison/settings_samples.py
@@ -1,4 +1,4 @@
-"""Settings objects by hand: every key that is read, in several shapes, and some that have to be rejected."""
+"""Handwritten settings objects: every key that is read, with various values, and some invalid ones."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """A named settings object."""
+    """A settings object and its name."""
 
     name: str
     settings: Any
@@ -18,7 +18,7 @@
 
 _MINIMAL_CLASS = {"name": "view", "objective-s": 0.6, "deadline-s": 1.2, "effect": "safe"}
 
-_EVERY_CLASS_KEY = [
+_FULL_CLASSES = [
     {
         "name": "order",
         "objective-s": 0.25,
@@ -42,8 +42,8 @@
     },
 ]
 
-_EVERY_KEY: dict[str, Any] = {
-    "classes": _EVERY_CLASS_KEY,
+_FULL_SETTINGS: dict[str, Any] = {
+    "classes": _FULL_CLASSES,
     "me": 3,
     "balancers": 11,
     "zone": "north",
@@ -81,13 +81,13 @@
 }
 
 
-def _with(**changes: Any) -> dict[str, Any]:
-    """Return the sample with every key, with other values at its top."""
-    return {**_EVERY_KEY, **{key.replace("_", "-"): value for key, value in changes.items()}}
+def _settings_with(**changes: Any) -> dict[str, Any]:
+    """Return the sample with every key, with other values for these top-level keys."""
+    return {**_FULL_SETTINGS, **{key.replace("_", "-"): value for key, value in changes.items()}}
 
 
-def _without(key: str) -> dict[str, Any]:
-    return {name: value for name, value in _EVERY_KEY.items() if name != key}
+def _settings_without(key: str) -> dict[str, Any]:
+    return {name: value for name, value in _FULL_SETTINGS.items() if name != key}
 
 
 def _class_with(**changes: Any) -> dict[str, Any]:
@@ -99,29 +99,32 @@
     Sample("minimal", {"classes": [_MINIMAL_CLASS]}),
     Sample("no classes", {"classes": []}),
     Sample("basic", BASIC_SETTINGS),
-    Sample("every key", _EVERY_KEY),
-    *(Sample(f"every key but {key}", _without(key)) for key in _EVERY_KEY),
-    *(Sample(f"null for {key}", _with(**{key: None})) for key in _EVERY_KEY),
-    Sample("unknown keys", _with(other={"a": 1}, limits={"other": 2, "max-attempts": 2})),
-    Sample("pushed lists", _with(membership_mode="push")),
-    Sample("answers", _with(telemetry={"how": "answers"})),
-    Sample("no reports", _with(telemetry={"how": "none"})),
-    Sample("nominal weights", _with(weights="nominal")),
-    Sample("no weights", _with(weights="none")),
-    Sample("counted by request", _with(counted_by="request")),
-    Sample("whole numbers for others", _class_with(objective_s=1, deadline_s="2.5", importance=True)),
-    Sample("text for numbers", _with(balancers="4", zone=7, over_share_worth="0.5")),
-    Sample("cold keys", _with(specifics={"warm-keys": False})),
-    Sample("names that are not ASCII", _class_with(name="l\u00e9arsc\u00e1il")),
+    Sample("every key", _FULL_SETTINGS),
+    *(Sample(f"every key except {key}", _settings_without(key)) for key in _FULL_SETTINGS),
+    *(Sample(f"null for {key}", _settings_with(**{key: None})) for key in _FULL_SETTINGS),
+    Sample("unknown keys", _settings_with(other={"a": 1}, limits={"other": 2, "max-attempts": 2})),
+    Sample("pushed lists", _settings_with(membership_mode="push")),
+    Sample("answers", _settings_with(telemetry={"how": "answers"})),
+    Sample("no reports", _settings_with(telemetry={"how": "none"})),
+    Sample("nominal weights", _settings_with(weights="nominal")),
+    Sample("no weights", _settings_with(weights="none")),
+    Sample("counted by request", _settings_with(counted_by="request")),
+    Sample("other types for numbers", _class_with(objective_s=1, deadline_s="2.5", importance=True)),
+    Sample(
+        "strings for numbers and numbers for strings",
+        _settings_with(balancers="4", zone=7, over_share_worth="0.5"),
+    ),
+    Sample("no warm keys", _settings_with(specifics={"warm-keys": False})),
+    Sample("name not in ASCII", _class_with(name="l\u00e9arsc\u00e1il")),
     Sample("not an object", []),
     Sample("null", None),
-    Sample("classes no list", {"classes": {}}),
-    Sample("class no object", {"classes": [1]}),
-    Sample("effect not known", _class_with(effect="other")),
-    Sample("group not known", _class_with(group="other")),
-    Sample("deadline no number", _class_with(deadline_s="soon")),
-    Sample("name no text", _class_with(name=7)),
-    Sample("telemetry not known", _with(telemetry={"how": "other"})),
-    Sample("limits no object", _with(limits=[])),
-    Sample("attempts no number", _with(limits={"max-attempts": "many"})),
+    Sample("classes not a list", {"classes": {}}),
+    Sample("class not an object", {"classes": [1]}),
+    Sample("unknown effect", _class_with(effect="other")),
+    Sample("unknown group", _class_with(group="other")),
+    Sample("deadline not a number", _class_with(deadline_s="soon")),
+    Sample("name not a string", _class_with(name=7)),
+    Sample("unknown telemetry", _settings_with(telemetry={"how": "other"})),
+    Sample("limits not an object", _settings_with(limits=[])),
+    Sample("max-attempts not a number", _settings_with(limits={"max-attempts": "many"})),
 )
--- a/benchmarks/comparison/transcript.py
+++ b/benchmarks/comparison/transcript.py
@@ -1,7 +1,7 @@
-"""What one scenario saw of one checkout, and how two of them are compared.
+"""The recording of one scenario with one checkout, and the comparison of two recordings.
 
-Compared is every byte, but for what ``TIMING_FIGURES`` lists, the addresses that a run has chosen, and the
-borders of the chunks of a body, which follow from how the system cut what was read.
+Every byte is compared, except for the values of ``TIMING_HEADERS``, the addresses chosen by a run, and the
+chunk boundaries of a body, which depend on how much the operating system returned from each read.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 from benchmarks.comparison.messages import Message
 
-EXCERPT_LENGTH = 160  # bytes shown on each side, from a little before the first that differs
-EXCERPT_BEFORE = 60  # bytes of them before it
+EXCERPT_LENGTH = 160  # bytes of each side shown, starting shortly before the first difference
+EXCERPT_CONTEXT = 60  # how many of these bytes precede the first difference
 
 
 @dataclass(frozen=True, slots=True)
-class TimingFigure:
-    """A header whose value is a time that differs a little from run to run."""
+class TimingHeader:
+    """A header whose value is a time, which varies slightly between runs."""
 
     name: str
-    pattern: re.Pattern[bytes]  # its one group is the figure
-    tolerance: float  # by how much two figures may differ, in the header's unit
+    pattern: re.Pattern[bytes]  # its only group is the time
+    tolerance: float  # largest allowed difference, in the header's unit
 
 
-TIMING_FIGURES = (
-    # What an attempt has left depends on how long the request took on its way.
-    TimingFigure("request-timeout", re.compile(rb"(?m)^Request-Timeout-Ms: (\d+)\r$"), tolerance=100.0),
+TIMING_HEADERS = (
+    # The time left for an attempt depends on how long the request has taken so far.
+    TimingHeader("request-timeout", re.compile(rb"(?m)^Request-Timeout-Ms: (\d+)\r$"), tolerance=100.0),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class KnownAddress:
-    """An address that a run has chosen, and the name that stands for it in what is compared."""
+class AddressAlias:
+    """An address chosen by a run, and the name that replaces it for the comparison."""
 
     address: str
     name: str
@@ -42,58 +42,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One message or one observation, with the timing figures that its head held."""
+    """A message or an observation, with the values of the timing headers in its head."""
 
     channel: str
     head: bytes
     body: bytes = b""
-    figures: tuple[float, ...] = ()
+    timings: tuple[float, ...] = ()
 
-    def normalised(self, addresses: list[KnownAddress]) -> Entry:
-        """Return the entry with its timing figures taken out, and with names for addresses."""
+    def normalised(self, addresses: list[AddressAlias]) -> Entry:
+        """Return the entry with the timing values moved out of its head, and addresses replaced by names."""
         head = self.head
-        figures: list[float] = []
-        for timing in TIMING_FIGURES:
-            figures.extend(float(found) for found in timing.pattern.findall(head))
+        timings: list[float] = []
+        for timing in TIMING_HEADERS:
+            timings.extend(float(found) for found in timing.pattern.findall(head))
             head = timing.pattern.sub(b"{" + timing.name.encode() + b"}\r", head)
-        for known in addresses:
+        for alias in addresses:
             head = re.sub(
-                rb"(?<![\d.])%s(?!\d)" % re.escape(known.address.encode()), known.name.encode(), head
+                rb"(?<![\d.])%s(?!\d)" % re.escape(alias.address.encode()), alias.name.encode(), head
             )
-        return replace(self, head=head, figures=tuple(figures))
+        return replace(self, head=head, timings=tuple(timings))
 
-    def same_bytes(self, other: Entry) -> bool:
-        """Return whether two normalised entries are the same, but for the values of their timing figures."""
-        same = replace(self, figures=()) == replace(other, figures=())
-        return same and len(self.figures) == len(other.figures)
+    def bytes_match(self, other: Entry) -> bool:
+        """Return whether two normalised entries are equal except for their timing values."""
+        same = replace(self, timings=()) == replace(other, timings=())
+        return same and len(self.timings) == len(other.timings)
 
-    def same_times(self, other: Entry) -> bool:
-        """Return whether the timing figures of two such entries are within the tolerance of each other."""
-        tolerance = max(timing.tolerance for timing in TIMING_FIGURES)
-        pairs = zip(self.figures, other.figures, strict=True)
+    def timings_match(self, other: Entry) -> bool:
+        """Return whether the timing values of two such entries differ by no more than the tolerance."""
+        tolerance = max(timing.tolerance for timing in TIMING_HEADERS)
+        pairs = zip(self.timings, other.timings, strict=True)
         return all(abs(mine - theirs) <= tolerance for mine, theirs in pairs)
 
 
 @dataclass(slots=True)
 class Transcript:
-    """What one scenario saw, in its own order."""
+    """The entries recorded in one scenario, in the order in which the scenario recorded them."""
 
     entries: list[Entry] = field(default_factory=list)
-    addresses: list[KnownAddress] = field(default_factory=list)
-    failure: str = ""  # why the scenario could not be run to its end, which counts on either side
+    addresses: list[AddressAlias] = field(default_factory=list)
+    failure: str = ""  # why the scenario could not be completed; a difference on either side
 
     def add_message(self, channel: str, message: Message) -> None:
-        """Add one message."""
+        """Add a message."""
         self.entries.append(Entry(channel, message.head, message.body))
-        if not message.whole:
-            self.add_note(channel, "breaks off")
+        if not message.complete:
+            self.add_note(channel, "truncated")
 
     def add_note(self, channel: str, text: str) -> None:
-        """Add an observation that is no message, such as an exit code."""
+        """Add an observation other than a message, such as an exit code."""
         self.entries.append(Entry(channel, text.encode()))
 
     def normalised(self) -> list[Entry]:
-        """Return the entries as they are compared."""
+        """Return the entries in the form in which they are compared."""
         return [entry.normalised(self.addresses) for entry in self.entries]
 
 
@@ -102,21 +102,21 @@
     """One entry that differs between two transcripts."""
 
     line: str
-    timing_only: bool  # the bytes are the same but for the value of a timing figure
+    timing_only: bool  # only the value of a timing header differs
 
 
 def differences(scenario: str, base: Transcript, new: Transcript) -> Iterator[Difference]:
-    """Yield each entry that differs, and each side that could not be recorded to its end."""
+    """Yield each entry that differs, and each side whose scenario could not be completed."""
     for side, transcript in (("BASE", base), ("NEW", new)):
         if transcript.failure:
-            line = f"bytes: {scenario}: cannot be run to its end at {side}: {transcript.failure}"
+            line = f"bytes: {scenario}: cannot be completed with {side}: {transcript.failure}"
             yield Difference(line, timing_only=False)
     for number, (mine, theirs) in enumerate(zip_longest(base.normalised(), new.normalised())):
-        same_bytes = mine is not None and theirs is not None and mine.same_bytes(theirs)
-        if same_bytes and mine.same_times(theirs):
+        bytes_match = mine is not None and theirs is not None and mine.bytes_match(theirs)
+        if bytes_match and mine.timings_match(theirs):
             continue
         line = f"bytes: {scenario}: entry {number}: {_describe(mine, theirs)}"
-        yield Difference(line, timing_only=same_bytes)
+        yield Difference(line, timing_only=bytes_match)
 
 
 def _describe(base: Entry | None, new: Entry | None) -> str:
@@ -126,13 +126,13 @@
         side = "BASE" if new is None else "NEW"
         return f"only in {side}: {found.channel}: {_excerpt(_content(found), 0)}"
     before, after = _content(base), _content(new)
-    start = max(_first_difference(before, after) - EXCERPT_BEFORE, 0)
+    start = max(_first_difference(before, after) - EXCERPT_CONTEXT, 0)
     return f"{base.channel}: BASE {_excerpt(before, start)} NEW {_excerpt(after, start)}"
 
 
 def _content(entry: Entry) -> bytes:
-    figures = "".join(f" figure {figure:g}" for figure in entry.figures)
-    return entry.channel.encode() + b": " + entry.head + entry.body + figures.encode()
+    timings = "".join(f" timing {timing:g}" for timing in entry.timings)
+    return entry.channel.encode() + b": " + entry.head + entry.body + timings.encode()
 
 
 def _excerpt(content: bytes, start: int) -> str:
--- a/benchmarks/comparison/upstreams.py
+++ b/benchmarks/comparison/upstreams.py
@@ -1,4 +1,4 @@
-"""Scripted upstreams on 127.0.0.1 that keep what they receive."""
+"""Scripted upstreams on 127.0.0.1 that record the requests they receive."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from benchmarks.comparison.messages import PEER_TIMEOUT_S, Message, read_message, response
 
 
-class After(Enum):
-    """What an upstream does with its connection once its bytes are written."""
+class AfterReply(Enum):
+    """What an upstream does with its connection after writing a reply."""
 
     KEEP = "keep"
     CLOSE = "close"
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What an upstream writes to one request. One without bytes that keeps the connection says nothing."""
+    """The bytes that an upstream sends for a request; without any, it leaves the request unanswered."""
 
     data: bytes = b""
-    after: After = After.KEEP
+    after: AfterReply = AfterReply.KEEP
 
 
 Script = Callable[[Message], Reply]
 
 
 def echo(message: Message) -> Reply:
-    """Reply with the request's body, or with its target where it has none."""
+    """Reply with the request's body, or with its target if it has none."""
     return Reply(response(200, message.body or message.target.encode()))
 
 
@@ -48,7 +48,7 @@
 
     @property
     def address(self) -> str:
-        """Return the address as the program is given it."""
+        """Return the address in the form HOST:PORT."""
         return f"127.0.0.1:{self.port}"
 
     def _accept(self) -> None:
@@ -62,11 +62,11 @@
             self.serve(connection)
 
     def serve(self, connection: socket.socket) -> None:
-        """Serve one connection until its end, in a thread of its own."""
+        """Serve one connection until its end; called in a thread of its own."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Stop listening, and see the accepting thread end."""
+        """Stop listening, and wait until the accepting thread has ended."""
         with contextlib.suppress(OSError):
             self._listener.shutdown(socket.SHUT_RDWR)
         self._acceptor.join(PEER_TIMEOUT_S)
@@ -74,42 +74,42 @@
 
 
 @dataclass(slots=True)
-class Received:
-    """What one upstream, or several that share one record, received, in the order of arrival."""
+class RequestLog:
+    """The requests received by one upstream, or by several that share the log, in order of arrival."""
 
     messages: list[Message] = field(default_factory=list)
-    closed_connections: int = 0  # that the program ended
+    closed_connections: int = 0  # connections that the program closed
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def add(self, message: Message) -> None:
-        """Keep one message."""
+        """Add a request to the log."""
         with self.lock:
             self.messages.append(message)
 
 
 class Upstream(Server):
-    """An upstream that answers each request as its script says."""
+    """An upstream that answers each request with the reply of its script."""
 
-    def __init__(self, script: Script, received: Received) -> None:
+    def __init__(self, script: Script, received: RequestLog) -> None:
         self._script = script
         self._received = received
         super().__init__()
 
     def serve(self, connection: socket.socket) -> None:
-        """Answer one request after another."""
+        """Answer the requests of a connection one after another."""
         with connection, connection.makefile("rb") as file:
             while (message := read_message(file)) is not None:
                 self._received.add(message)
                 reply = self._script(message)
                 connection.sendall(reply.data)
-                if reply.after is After.RESET:
+                if reply.after is AfterReply.RESET:
                     reset_on_close(connection)
-                if reply.after is not After.KEEP:
+                if reply.after is not AfterReply.KEEP:
                     return
         with self._received.lock:
             self._received.closed_connections += 1
 
 
 def reset_on_close(connection: socket.socket) -> None:
-    """Make the next close of a connection a reset."""
+    """Make the connection send a reset when it is closed."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/benchmarks/simulated_fleet.py
+++ b/benchmarks/simulated_fleet.py
@@ -46,7 +46,7 @@
 
     @property
     def now(self) -> float:
-        """The simulated time of the current batch, in seconds."""
+        """Return the simulated time of the current batch, in seconds."""
         return round(self._origin_s + self._elapsed_s, 6)
 
     def after(self, delay_s: float, call: Callable[[], None]) -> None:
