--- a/benchmarks/comparison/discovery.py
+++ b/benchmarks/comparison/discovery.py
@@ -11,7 +11,7 @@
 from benchmarks.comparison.messages import Message, read_message
 from benchmarks.comparison.upstreams import Server, reset_on_close
 
-HEARTBEAT_INTERVAL_S = 1.0  # between empty lines of a watch; the protocol sends one every 2 s
+HEARTBEAT_INTERVAL_S = 1.0  # time between the empty lines of a watch; the protocol has one every 2 s
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -71,9 +71,7 @@
     def reset(self) -> None:
         """Reset the connection of the watch."""
         reset_on_close(self._connection)
-        self._connection.shutdown(
-            socket.SHUT_RD
-        )  # wakes the thread that serves the connection, which closes it
+        self._connection.shutdown(socket.SHUT_RD)  # wakes the serving thread, which closes the connection
 
 
 class Discovery(Server):
@@ -82,8 +80,8 @@
     def __init__(self) -> None:
         self.received: list[Message] = []
         self.watches: list[Watch] = []
-        self.initial_lines: list[bytes] = []  # sent at the start of each watch
-        self.scripted_responses: list[bytes] = []  # sent to the next calls, whatever they ask for
+        self.initial_lines: list[bytes] = []  # lines sent at the start of each watch
+        self.scripted_responses: list[bytes] = []  # to the next calls, in place of a watch or a list
         self.full_list: Callable[[], bytes] = EndpointList(0, ()).line
         self._stopped = threading.Event()
         super().__init__()
--- a/benchmarks/comparison/messages.py
+++ b/benchmarks/comparison/messages.py
@@ -6,7 +6,7 @@
 from typing import BinaryIO
 
 LINE_END = b"\r\n"
-PEER_TIMEOUT_S = 20.0  # for every wait; reached only if a comparison fails
+PEER_TIMEOUT_S = 20.0  # upper limit of every wait; reached only if a comparison fails
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/comparison/operation_scenarios.py
+++ b/benchmarks/comparison/operation_scenarios.py
@@ -251,7 +251,7 @@
     context.wait_received(2)
     program.signal(signal.SIGTERM)
     time.sleep(SETTLE_TIME_S)
-    late.send(request("view", "t-3"))  # on a connection accepted before the signal
+    late.send(request("view", "t-3"))  # still answered, although no new connections are accepted
     for client in (opened, late, idle):
         client.read_to_end()
     context.transcript.add_note("process", f"exit code {program.wait()}")
--- a/benchmarks/comparison/program.py
+++ b/benchmarks/comparison/program.py
@@ -18,7 +18,7 @@
 from benchmarks.comparison.messages import PEER_TIMEOUT_S, Message, read_message
 
 POLL_INTERVAL_S = 0.005
-INHERITED_DESCRIPTOR = 7  # the descriptor of the listening socket that the process inherits
+INHERITED_DESCRIPTOR = 7  # descriptor of the listening socket that the platform passes to the process
 SEED = "8c1f30d27a5be964"
 
 # The addresses are derived from this process's id, so that no other process takes a port found free there.
@@ -79,12 +79,12 @@
 class Options:
     """The configuration and the environment with which a process is started."""
 
-    discovery: str  # its address
+    discovery: str  # address of discovery
     known: EndpointList
     settings: dict[str, Any] = field(default_factory=lambda: BASIC_SETTINGS)
     admin_enabled: bool = False
     state_folder: Path | None = None
-    listener: socket.socket | None = None  # inherited by the process, which otherwise opens its own
+    listener: socket.socket | None = None  # inherited listening socket, in place of one of its own
     raw_configuration: bytes | None = None  # content of the configuration file, in place of the generated one
 
 
--- a/benchmarks/comparison/restart_comparison.py
+++ b/benchmarks/comparison/restart_comparison.py
@@ -22,9 +22,9 @@
 from benchmarks.comparison.scenario import temporary_folder
 from benchmarks.comparison.state_comparison import HTTP_OK, UpstreamTrio
 
-REQUEST_INTERVAL_S = 0.005  # between two requests of a client
-SERVING_TIME_S = 0.5  # between two steps, while requests continue
-CORDON_PROPAGATION_S = 0.3  # within which a cordon set at one process is in force at the others
+REQUEST_INTERVAL_S = 0.005  # time between two requests of a client
+SERVING_TIME_S = 0.5  # time between two steps, while requests continue
+CORDON_PROPAGATION_S = 0.3  # time within which a cordon set at one process is in force at the others
 LISTEN_BACKLOG = 512
 HTTP_UNAVAILABLE = 503
 MAX_FAILURES_SHOWN = 3
--- a/benchmarks/comparison/scenario.py
+++ b/benchmarks/comparison/scenario.py
@@ -16,7 +16,7 @@
 from benchmarks.comparison.transcript import AddressAlias, Transcript
 from benchmarks.comparison.upstreams import RequestLog, Script, Upstream
 
-UNRECORDED_PREFIX = "unrecorded-"  # of the ids of requests whose number or attempts depend on timing
+UNRECORDED_PREFIX = "unrecorded-"  # ids of requests whose number or attempts depend on timing start with it
 
 
 class Client:
@@ -99,7 +99,7 @@
         self.received = RequestLog()
         self.discovery = Discovery()
         self.program: Program
-        self.unrecorded_target = ""  # of requests whose number depends on timing
+        self.unrecorded_target = ""  # target of requests whose number depends on timing
         self._checkout = checkout
         self._upstreams: list[Upstream] = []
         self._programs: list[Program] = []
--- a/benchmarks/comparison/settings_comparison.py
+++ b/benchmarks/comparison/settings_comparison.py
@@ -14,7 +14,7 @@
 from benchmarks.comparison.program import ComparisonError
 from benchmarks.comparison.settings_samples import SAMPLES, Sample
 
-SETTINGS_KEY = "settings"  # of a complete configuration file
+SETTINGS_KEY = "settings"  # key of the settings in a complete configuration file
 
 
 def read_samples(files: list[Path]) -> list[Sample]:
--- a/benchmarks/comparison/settings_decoder.py
+++ b/benchmarks/comparison/settings_decoder.py
@@ -33,9 +33,7 @@
         try:
             module = importlib.import_module(name)
         except ModuleNotFoundError as error:
-            if error.name is None or not name.startswith(
-                error.name
-            ):  # the module exists, but one of its own imports fails
+            if error.name is None or not name.startswith(error.name):  # raised within the module itself
                 raise
             continue
         if hasattr(module, DECODER_NAME):
--- a/benchmarks/comparison/state_comparison.py
+++ b/benchmarks/comparison/state_comparison.py
@@ -20,13 +20,13 @@
 from benchmarks.comparison.scenario import ScenarioContext, scenario_context
 from benchmarks.comparison.upstreams import RequestLog, Upstream, echo
 
-WRITE_INTERVAL_S = 1.0  # at which a process writes its state
+WRITE_INTERVAL_S = 1.0  # interval at which a process writes its state
 WARM_UP_REQUESTS = 30
 REQUESTS_AFTER = 30
 PUSHED_LIST_INDEX = 5
 CORDONED = "s-0"
 WRITE_MARGIN_S = 0.3  # additional time for a write to finish
-LEARNED_CLASS, OTHER_CLASS = "view", "pay"  # of the requests to the first and to the second process
+LEARNED_CLASS, OTHER_CLASS = "view", "pay"  # classes of the requests to the first and the second process
 HTTP_OK = 200
 
 
@@ -37,7 +37,7 @@
     first_exit_code: int
     second_exit_code: int
     statuses: tuple[int, ...]  # the distinct statuses of the second process's responses
-    cordoned_requests: int  # that the second process sent to the cordoned upstream
+    cordoned_requests: int  # requests that the second process sent to the cordoned upstream
     others_received: bool  # every other upstream got requests, including the one learned from discovery only
     watch_target: str  # target of the second process's first call to discovery
     learned_kept: bool  # the second process stores state that only the first one has learned
@@ -96,7 +96,7 @@
         content = json.loads(file.read_bytes().partition(b"\n")[2])
         try:
             return float(content["clock"]["learned"]["classes"][LEARNED_CLASS][0])
-        except (KeyError, TypeError):  # has cordons only, or another structure, which is compared anyway
+        except (KeyError, TypeError):  # a file with cordons only, or with a structure compared elsewhere
             continue
     return None
 
@@ -146,7 +146,7 @@
         program.exchange(request(OTHER_CLASS, f"r-{number}")).status for number in range(REQUESTS_AFTER)
     }
     received_counts = [after - before for before, after in zip(counts, upstreams.counts(), strict=True)]
-    for file in state_folder.iterdir():  # so that all state found later is written by the second process
+    for file in state_folder.iterdir():  # files found later were written by the second process
         file.unlink(missing_ok=True)
     time.sleep(WRITE_INTERVAL_S + WRITE_MARGIN_S)
     program.signal(signal.SIGTERM)
--- a/benchmarks/comparison/upstream_scenarios.py
+++ b/benchmarks/comparison/upstream_scenarios.py
@@ -161,7 +161,7 @@
         return silent_once(message) if message.header("Request-Id").startswith("copy") else echo(message)
 
     program = context.start(*(context.start_upstream(respond) for _ in range(2)), settings=settings)
-    for number in range(WARM_UP_REQUESTS):  # hedging needs latencies learned before
+    for number in range(WARM_UP_REQUESTS):  # the learned latencies determine when to hedge
         program.exchange(request("view", f"{UNRECORDED_PREFIX}{number}"))
     context.record_exchange("hedging: view", request("view", "copy-view"))
     context.record_exchange(
--- a/benchmarks/simulated_fleet.py
+++ b/benchmarks/simulated_fleet.py
@@ -23,8 +23,8 @@
 WARM_KEY_WORK_FACTOR = 0.5  # fraction of the work that a request with a warm key needs
 NETWORK_DELAY_S = 0.001
 FAULT_DELAY_S = 0.01  # time until an error response or a broken connection is seen
-ERROR_PROBABILITY = 0.85  # that a failing upstream fails a request
-QUEUE_LIMIT_PER_SLOT = 25  # requests in flight per slot, at which an upstream is saturated
+ERROR_PROBABILITY = 0.85  # probability that a failing upstream fails a request
+QUEUE_LIMIT_PER_SLOT = 25  # an upstream with as many requests in flight per slot is saturated
 MAX_DELTA_ROWS = 20  # a sidecar that has missed more changes is sent the full list
 CELL_SIZE = 4  # upstreams per cell
 POOL_NUMBER_COUNT = 16  # the wire protocol numbers endpoint lists from 0 to 15
@@ -129,7 +129,7 @@
         self.started_s = 0.0
         self._slow_start, self._random = slow_start, random
         self._slot_free_s = [0.0] * slots
-        self._finish_s: list[float] = []  # of the requests in flight
+        self._finish_s: list[float] = []  # finish times of the requests in flight
         self._warm_keys: OrderedDict[str, None] = OrderedDict()
         self._busy = self._rate = self._errors = self._latency_s = self._averaged_s = 0.0
 
--- a/benchmarks/simulated_traffic.py
+++ b/benchmarks/simulated_traffic.py
@@ -18,12 +18,12 @@
 from benchmarks.wire_scenarios import KINDS, ZONES, RequestClass, Scenario
 
 ANSWER_SLACK_S = 0.02  # time for which a client still waits after its deadline
-FIRST_BYTE_FRACTION = 0.4  # of the response delay, after which a streamed response begins
+FIRST_BYTE_FRACTION = 0.4  # fraction of the response delay after which a streamed response begins
 COOL_DOWN_S = 3.0  # simulated time for which a scenario continues after its last request
 DISCOVERY_DELAY_S = 0.02
 RESEND_DELAY_S = 0.1
 MAX_RESENDS = 3
-KEY_EXPONENT = 1.0  # of the Zipf distribution from which keys are drawn
+KEY_EXPONENT = 1.0  # exponent of the Zipf distribution from which keys are drawn
 
 Fields = dict[str, str]
 
--- a/benchmarks/wire_scenarios.py
+++ b/benchmarks/wire_scenarios.py
@@ -38,7 +38,7 @@
     name: str
     share: float
     quota_fraction: float
-    request_fraction: float  # of all requests
+    request_fraction: float  # fraction of all requests that the tenant sends
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,11 +61,11 @@
     surge_from_s: float = 2.0
     surge_until_s: float = 4.0
     key_count: int = 0
-    hot_key_fraction: float = 0.0  # of the requests, all with the same key
+    hot_key_fraction: float = 0.0  # fraction of the requests that use one hot key
     send_hints: bool = False
-    leave_probability: float = 0.01  # that a client disconnects before its deadline
-    resend_probability: float = 0.0  # that a client whose request is rejected sends it again
-    short_budget_probability: float = 0.05  # that a client sets a much shorter deadline
+    leave_probability: float = 0.01  # probability that a client disconnects before its deadline
+    resend_probability: float = 0.0  # probability that a rejected request is sent again
+    short_budget_probability: float = 0.05  # probability that a client sets a much shorter deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
     name: str
     upstreams: int = 12
-    cold_fraction: float = 0.0  # of the upstreams; these have just started
+    cold_fraction: float = 0.0  # fraction of the upstreams that have just started
     stale_endpoints: int = 0  # endpoints of the initial list that no longer exist
     sidecars: int = 2
     balancers: int = 3
