--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,4 +1,4 @@
-"""The peers of the benchmarks: minimal upstreams, clients and discovery, a bare relay and an aiohttp proxy.
+"""The peers of the benchmarks: minimal upstreams, clients and discovery, a plain relay and an aiohttp proxy.
 
 Each runs in a process of its own, started by ``python -m benchmarks.peers ROLE ARGS``. Servers listen on
 127.0.0.1 and print their port; clients print their results as JSON.
@@ -17,19 +17,19 @@
 
 import uvloop
 
-_LIFETIME_S = 3600  # of a server, unless it is killed before
-_WATCH_INTERVAL_S = 2.0  # between two empty chunks of the discovery service
+_LIFETIME_S = 3600  # of a server that is not killed earlier
+_WATCH_INTERVAL_S = 2.0  # between two empty lines that discovery sends on a watch
 _LATENCY_OBJECTIVE_S = 0.6
-_ORDER_RATIO = 0.37  # of the requests of a flood; the others are views
-_MAX_SLEEP_S = 0.002
-_REQUESTS_PER_PAUSE = 20
+_ORDER_RATIO = 0.37  # of the requests of a flood; the others are of class "view"
+_MAX_SLEEP_S = 0.002  # at a time, while a flood waits for its next arrival
+_REQUESTS_PER_PAUSE = 20  # sent in a row before the event loop handles responses
 _DRAIN_S = 1.5  # for the responses to the last requests of a flood
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nServer-Load: util=0.30,qps=100\r\n\r\ndone"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nServer-Load: util=0.30,qps=100\r\n\r\ndone"
 
 
 class Upstream(asyncio.Protocol):
-    """An upstream that sends the same response for each empty line that it receives."""
+    """An upstream that sends the same response for each empty line, which ends a request's head."""
 
     def __init__(self, closing: bool = False) -> None:
         self._closing = closing
@@ -42,22 +42,22 @@
         """Respond to each request (asyncio.Protocol)."""
         requests = data.count(b"\r\n\r\n")
         if requests:
-            self._transport.write(ANSWER * requests)
+            self._transport.write(RESPONSE * requests)
             if self._closing:
                 self._transport.close()
 
 
-Node = Upstream  # the name that benchmarks.accept uses
+UpstreamPeer = Upstream  # the name that benchmarks.accept uses
 
 
 class _RelayUpstream(asyncio.Protocol):
-    """The upstream's side of a relay."""
+    """The connection of a relay to its upstream."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send what the client has sent so far (asyncio.Protocol)."""
+        """Forward what the client has sent so far (asyncio.Protocol)."""
         self._relay.upstream = cast(asyncio.Transport, transport)
         self._relay.upstream.write(b"".join(self._relay.early))
 
@@ -67,12 +67,12 @@
 
 
 class Relay(asyncio.Protocol):
-    """Forwards bytes between a client's connection and one to an upstream, without parsing them."""
+    """The connection of a client, whose bytes are forwarded to an upstream and back without parsing them."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self.upstream: asyncio.Transport | None = None
-        self.early: list[bytes] = []  # received before the upstream's connection was established
+        self.early: list[bytes] = []  # received before the connection to the upstream was established
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Connect to the upstream (asyncio.Protocol)."""
@@ -113,13 +113,13 @@
 
     from aiohttp import ClientSession, web
 
-    turn = cycle(upstreams)
+    ports = cycle(upstreams)
     async with ClientSession() as session:
 
         async def handle(request: web.Request) -> web.Response:
-            url = f"http://127.0.0.1:{next(turn)}{request.path_qs}"
-            async with session.request(request.method, url, data=await request.read() or None) as answer:
-                return web.Response(status=answer.status, body=await answer.read())
+            url = f"http://127.0.0.1:{next(ports)}{request.path_qs}"
+            async with session.request(request.method, url, data=await request.read() or None) as response:
+                return web.Response(status=response.status, body=await response.read())
 
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", handle)
@@ -134,26 +134,26 @@
 async def _submit(port: int, connections: int, requests: int, rate: float) -> None:
     """Send requests over keep-alive connections, one at a time on each, and print the results.
 
-    ``rate`` limits the requests a second; 0 is no limit.
+    ``rate`` limits the requests per second; 0 means no limit.
     """
     served = 0
     others = 0
     number = 0
     latencies: list[float] = []
-    began = time.perf_counter()
+    started_at = time.perf_counter()
 
-    async def one() -> None:
+    async def send_in_turn() -> None:
         nonlocal served, others, number
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         while number < requests:
-            mine = number
+            own_number = number
             number += 1
             if rate > 0.0:
-                await asyncio.sleep(max(began + mine / rate - time.perf_counter(), 0.0))
+                await asyncio.sleep(max(started_at + own_number / rate - time.perf_counter(), 0.0))
             sent = time.perf_counter()
             writer.write(
                 b"GET /view/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %016x\r\nRequest-Class: view\r\n"
-                b"Tenant: t\r\nRequest-Timeout-Ms: 1000\r\n\r\n" % (mine % 500, mine)
+                b"Tenant: t\r\nRequest-Timeout-Ms: 1000\r\n\r\n" % (own_number % 500, own_number)
             )
             head = await reader.readuntil(b"\r\n\r\n")
             at = head.lower().find(b"content-length:")
@@ -166,14 +166,14 @@
                 others += 1
         writer.close()
 
-    await asyncio.gather(*(one() for _ in range(connections)))
+    await asyncio.gather(*(send_in_turn() for _ in range(connections)))
     latencies.sort()
     print(
         json.dumps(
             {
                 "served": served,
                 "others": others,
-                "seconds": time.perf_counter() - began,
+                "seconds": time.perf_counter() - started_at,
                 "p50_ms": 1e3 * latencies[len(latencies) // 2],
                 "p99_ms": 1e3 * latencies[int(len(latencies) * 0.99)],
             }
@@ -182,7 +182,7 @@
 
 
 class _FloodConnection(asyncio.Protocol):
-    """A client's connection of a flood, with one request at a time."""
+    """A client connection of a flood, with one request at a time."""
 
     def __init__(self, flood: Flood) -> None:
         self._flood = flood
@@ -191,12 +191,12 @@
         self._received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Offer the connection to the flood (asyncio.Protocol)."""
+        """Add the connection to the free ones of the flood (asyncio.Protocol)."""
         self._transport = cast(asyncio.Transport, transport)
         self._flood.free.append(self)
 
     def send(self, due: float, class_name: str, message: bytes) -> None:
-        """Send a request that was due at a time."""
+        """Send a request whose arrival was due at ``due``."""
         self._due = due
         self._class = class_name
         self._transport.write(message)
@@ -224,7 +224,7 @@
 
 
 class Flood:
-    """Open-loop load: arrivals do not depend on responses, and latencies count from the due arrival."""
+    """Open-loop load: arrivals do not depend on responses, and latencies count from the due arrivals."""
 
     def __init__(self, port: int, connections: int, rate: float, seconds: float, seed: int) -> None:
         self._port = port
@@ -232,7 +232,7 @@
         self._rate = rate
         self._seconds = seconds
         self._seed = seed
-        self._counts: dict[str, dict[str, int]] = {}  # by class and result
+        self._counts: dict[str, dict[str, int]] = {}  # by class, then by result
         self._refusal_latencies: list[float] = []
         self._lag_s = 0.0
         self._in_flight: dict[_FloodConnection, str] = {}
@@ -249,7 +249,7 @@
             self._refusal_latencies.append(latency)
 
     def on_connection_lost(self, connection: _FloodConnection) -> None:
-        """Count the request on a connection as lost, and open another connection."""
+        """Count the request in flight on a connection as lost, and open another connection."""
         class_name = self._in_flight.pop(connection, None)
         if class_name is not None:
             self._count(class_name, "lost")
@@ -308,10 +308,10 @@
 
 
 def main() -> None:
-    """Run one role."""
+    """Run the role that the command line names."""
     role, *args = sys.argv[1:]
     match role:
-        case "upstream" | "node":  # the latter as benchmarks.crowd calls it
+        case "upstream" | "node":  # two names of the same role
             uvloop.run(_serve(lambda: Upstream("closing" in args)))
         case "relay":
             uvloop.run(_serve(lambda: Relay(int(args[0]))))
@@ -325,7 +325,7 @@
             port, connections, rate, seconds, seed = args
             uvloop.run(Flood(int(port), int(connections), float(rate), float(seconds), int(seed)).run())
         case _:
-            raise SystemExit(f"no such role: {role}")
+            raise SystemExit(f"unknown role: {role}")
 
 
 if __name__ == "__main__":
