--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -1,7 +1,7 @@
-"""Random cancels of connection attempts, among resets, closes and drains; then what the pool and the process
-still hold.
+"""Random cancels of connects to upstreams, among resets, closes and drains of connections.
 
-Run as ``python -m benchmarks.cancels [--opens N] [--seed N]``. Exits 1 if anything remains.
+Afterwards, counts the connections, waiters and sockets that the connection pool and the process still hold.
+Run as ``python -m benchmarks.cancels [--opens N] [--seed N]``. Exits with status 1 if anything remains.
 """
 
 from __future__ import annotations
@@ -30,71 +30,71 @@
 )
 from indigokeel.net.upstream.descriptor_audit import sockets
 
-_MAX_HELD = 40  # connections and waiters at a time
+_MAX_HELD = 40  # connections and waiters at the same time
 _OPENS_PER_AUDIT = 5000
 
 
-class _Silence:
-    """A handler of connections that ignores all events."""
+class _IgnoringHandler:
+    """A handler of an upstream connection that ignores all events (ConnectionHandler)."""
 
     def on_data(self, data: bytes) -> None:
-        """Ignore data."""
+        """Ignore received bytes."""
 
     def on_writable(self) -> None:
-        """Ignore the end of a write."""
+        """Do nothing."""
 
     def on_closed(self, reason: CloseReason) -> None:
-        """Ignore the end."""
+        """Ignore the end of the connection."""
 
 
 class _Peer(asyncio.Protocol):
-    """An upstream that resets or closes at once at random, or stays."""
+    """An upstream that resets, closes or keeps each connection, at random."""
 
-    def __init__(self, random: Random, open_: dict[int, str]) -> None:
+    def __init__(self, random: Random, descriptors: dict[int, str]) -> None:
         self._random = random
-        self._open = open_
+        self._descriptors = descriptors
         self._fd = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Reset, close or keep the connection."""
+        """Reset, close or keep the connection (asyncio.Protocol)."""
         sock = transport.get_extra_info("socket")
         self._fd = sock.fileno()
-        self._open[self._fd] = "peer"
-        chance = self._random.random()
-        if chance < 0.2:
+        self._descriptors[self._fd] = "peer"
+        draw = self._random.random()
+        if draw < 0.2:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        if chance < 0.4:
+        if draw < 0.4:
             transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the descriptor."""
-        self._open.pop(self._fd, None)
+        """Forget the descriptor (asyncio.Protocol)."""
+        self._descriptors.pop(self._fd, None)
 
 
-async def play(opens: int, seed: int) -> dict[str, int]:
-    """Open and cancel so many connections; return what was done, and what remains."""
+async def run_load(opens: int, seed: int) -> dict[str, int]:
+    """Open and cancel so many connections. Return the counts of the pool and of what remains."""
     loop = asyncio.get_running_loop()
     random = Random(seed)
-    peers: dict[int, str] = {}
-    server = await loop.create_server(lambda: _Peer(random, peers), "127.0.0.1", 0, backlog=4096)
+    peer_descriptors: dict[int, str] = {}
+    server = await loop.create_server(lambda: _Peer(random, peer_descriptors), "127.0.0.1", 0, backlog=4096)
     upstreams = [("n0", server.sockets[0].getsockname()), ("n1", _unused_address())]
     counts: Counter[str] = Counter()
 
     def count(name: str) -> None:
         counts[name] += 1
 
-    connections = ConnectionPool(
+    pool = ConnectionPool(
         ConnectionLimits.of(216),
-        lambda _: _Silence(),
+        lambda _: _IgnoringHandler(),
         Telemetry(count, lambda *_: None, time.monotonic),
         PoolOptions(seed=seed, connect_timeout_s=0.25),
     )
-    own = set(sockets())
+    sockets_before = set(sockets())
     audit = DescriptorLeakDetector(
-        lambda: connections.table, connections.discard, lambda: peers, count, lambda *_: None, time.monotonic
+        lambda: pool.table, pool.discard, lambda: peer_descriptors, count, lambda *_: None, time.monotonic
     )
-    await _open_and_cancel(opens, random, upstreams, connections, audit)
-    connections.end()
+    await _open_and_cancel(opens, random, upstreams, pool, audit)
+    pool.end()
     await asyncio.sleep(0.1)
     server.close()
     await asyncio.sleep(0.1)
@@ -102,9 +102,9 @@
     audit.look()
     return {
         **counts,
-        "in_table": len(connections.table),
-        "waiting": connections.waiting(),
-        "sockets_remaining": len(set(sockets()) - own - set(peers)),
+        "in_table": len(pool.table),
+        "waiting": pool.waiting(),
+        "sockets_remaining": len(set(sockets()) - sockets_before - set(peer_descriptors)),
     }
 
 
@@ -119,23 +119,23 @@
     opens: int,
     random: Random,
     upstreams: list[tuple[str, tuple[str, int]]],
-    connections: ConnectionPool,
+    pool: ConnectionPool,
     audit: DescriptorLeakDetector,
 ) -> None:
-    """Acquire connections, and cancel, release or close them at random."""
+    """Acquire connections, and at random cancel, release or close them."""
     held: list[UpstreamConnection | ConnectionWaiter] = []
     for number in range(opens):
         upstream, address = upstreams[random.random() < 0.1]
-        patience_s = random.choice((0.0, 0.001, 0.2))
-        held.append(connections.acquire(upstream, address, patience_s, _hold_when_ready(held)))
+        timeout_s = random.choice((0.0, 0.001, 0.2))
+        held.append(pool.acquire(upstream, address, timeout_s, _hold_when_ready(held)))
         while len(held) > _MAX_HELD or (held and random.random() < 0.4):
             found = held.pop(random.randrange(len(held)))
             if isinstance(found, ConnectionWaiter):
-                connections.cancel(found)
+                pool.cancel(found)
             else:
-                connections.release(found, random.random() < 0.3)
+                pool.release(found, random.random() < 0.3)
         if random.random() < 0.01:
-            connections.close_to(upstream)
+            pool.close_to(upstream)
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
             await asyncio.sleep(0)
         if number % _OPENS_PER_AUDIT == 0:
@@ -145,7 +145,7 @@
 def _hold_when_ready(
     held: list[UpstreamConnection | ConnectionWaiter],
 ) -> Callable[[UpstreamConnection | ConnectFailure], None]:
-    """Return the callback of a waiter: its connection joins those held."""
+    """Return the callback of a waiter, which adds its connection to ``held``."""
 
     def ready(connection: UpstreamConnection | ConnectFailure) -> None:
         if isinstance(connection, UpstreamConnection):
@@ -162,15 +162,15 @@
     options = parser.parse_args()
     began = time.monotonic()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(play(options.opens, options.seed))
+        found = runner.run(run_load(options.opens, options.seed))
     print(f"{options.opens} opens in {time.monotonic() - began:.1f} s: {found}")
-    bad = (
+    remaining = (
         found["in_table"]
         + found["waiting"]
         + found.get("descriptor_audit_missing", 0)
         + found.get("descriptor_audit_leaked", 0)
     )
-    raise SystemExit(1 if bad or found["sockets_remaining"] > 0 else 0)
+    raise SystemExit(1 if remaining or found["sockets_remaining"] > 0 else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -1,9 +1,9 @@
-"""A crowd of clients that exhausts the descriptors: lag, memory and descriptors of the sidecar, and the
+"""A sidecar whose descriptors are exhausted by a crowd of clients: its lag, memory and descriptors, and the
 responses to ordinary requests.
 
-A third of the crowd sends nothing, a third sends half a request, a third sends one request and stays; each
-stays for three seconds. Ordinary requests are sent on connections of their own. Two checkouts take turns.
-Run as ``python -m benchmarks.crowd [--other DIR]``.
+A third of the clients in the crowd send nothing, a third send an incomplete request, and a third send one
+request; each stays connected for three seconds. Ordinary requests are sent on connections of their own. The
+sidecars of two checkouts can take turns. Run as ``python -m benchmarks.crowd [--other DIR]``.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from collections import Counter
 from pathlib import Path
 
-from benchmarks.exchange import ROOT, memory_kb, roles, start_daemon
+from benchmarks.exchange import ROOT, memory_kb, running_peers, start_sidecar
 
 _STAY_S = 3.0
 _LATENCY_OBJECTIVE_S = 0.6  # of both classes
@@ -30,15 +30,15 @@
 
 
 def _message(number: int) -> bytes:
-    """Return a request."""
+    """Return the bytes of a request."""
     return (
         b"GET /view/k HTTP/1.1\r\nHost: a\r\nRequest-Id: %d\r\nRequest-Class: view\r\n"
         b"Request-Timeout-Ms: 1200\r\n\r\n" % number
     )
 
 
-async def _idle(port: int, number: int) -> None:
-    """Be one client of the crowd."""
+async def _connect_and_stay(port: int, number: int) -> None:
+    """Connect; send nothing, an incomplete request or a whole one; and stay connected."""
     with contextlib.suppress(OSError):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write((b"", _message(number)[:-2], _message(number))[number % 3])
@@ -49,8 +49,10 @@
         writer.close()
 
 
-async def _ask(port: int, number: int, ends: Counter[str], times: list[float]) -> None:
-    """Send an ordinary request; record how it ended, and after how many seconds."""
+async def _send_ordinary_request(
+    port: int, number: int, outcomes: Counter[str], latencies_s: list[float]
+) -> None:
+    """Send an ordinary request. Count its outcome, and record its latency if it gets a response."""
     began = time.perf_counter()
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -59,49 +61,54 @@
             line = await reader.readuntil(b"\r\n")
         writer.close()
     except (OSError, EOFError, TimeoutError) as error:
-        ends[type(error).__name__] += 1
+        outcomes[type(error).__name__] += 1
         return
     elapsed_s = time.perf_counter() - began
-    times.append(elapsed_s)
+    latencies_s.append(elapsed_s)
     in_time = b" 200 " in line and elapsed_s <= _LATENCY_OBJECTIVE_S
-    ends["in time" if in_time else line.decode().split()[1]] += 1
+    outcomes["in time" if in_time else line.decode().split()[1]] += 1
 
 
-async def _play(port: int, pid: int, seconds: float, crowd: int, rate: int) -> dict[str, object]:
-    """Run the load against one sidecar; return the figures."""
-    ends: Counter[str] = Counter()
-    times: list[float] = []
-    most = {"descriptors": 0, "memory_kb": 0}
-    tasks, number, began = [], 0, time.perf_counter()
-    while (now := time.perf_counter() - began) < seconds:
+async def _run_load(port: int, pid: int, seconds: float, crowd: int, rate: int) -> dict[str, object]:
+    """Run the load against one sidecar. Return the figures."""
+    outcomes: Counter[str] = Counter()
+    latencies_s: list[float] = []
+    maxima = {"descriptors": 0, "memory_kb": 0}
+    tasks, number, started_at = [], 0, time.perf_counter()
+    while (now := time.perf_counter() - started_at) < seconds:
         while number < now * (crowd + rate):
             number += 1
-            ordinary = number % (crowd + rate) < rate
-            call = _ask(port, number, ends, times) if ordinary else _idle(port, number)
-            tasks.append(asyncio.create_task(call))
-        most["descriptors"] = max(most["descriptors"], len(os.listdir(f"/proc/{pid}/fd")))
-        most["memory_kb"] = max(most["memory_kb"], memory_kb(pid))
-        os.kill(pid, signal.SIGUSR1)
+            is_ordinary = number % (crowd + rate) < rate
+            client = (
+                _send_ordinary_request(port, number, outcomes, latencies_s)
+                if is_ordinary
+                else _connect_and_stay(port, number)
+            )
+            tasks.append(asyncio.create_task(client))
+        maxima["descriptors"] = max(maxima["descriptors"], len(os.listdir(f"/proc/{pid}/fd")))
+        maxima["memory_kb"] = max(maxima["memory_kb"], memory_kb(pid))
+        os.kill(pid, signal.SIGUSR1)  # makes the sidecar log its counters, with the lag
         await asyncio.sleep(_SAMPLE_INTERVAL_S)
     await asyncio.gather(*tasks)
-    times.sort()
-    return {**most, "asked": sum(ends.values()), **ends, "p50_ms": round(1e3 * statistics.median(times), 1),
-            "p99_ms": round(1e3 * times[int(len(times) * 0.99)], 1)}  # fmt: skip
+    latencies_s.sort()
+    return {**maxima, "asked": sum(outcomes.values()), **outcomes,
+            "p50_ms": round(1e3 * statistics.median(latencies_s), 1),
+            "p99_ms": round(1e3 * latencies_s[int(len(latencies_s) * 0.99)], 1)}  # fmt: skip
 
 
 def main() -> None:
     """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8.0)
-    parser.add_argument("--crowd", type=int, default=900, help="connections a second")
-    parser.add_argument("--rate", type=int, default=60, help="ordinary requests a second")
+    parser.add_argument("--crowd", type=int, default=900, help="connections of the crowd per second")
+    parser.add_argument("--rate", type=int, default=60, help="ordinary requests per second")
     parser.add_argument("--sockets", type=int, default=576)
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--other", type=Path)
     options = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    with roles(("upstream",), ("upstream",), ("discovery",)) as peers:
+    with running_peers(("upstream",), ("upstream",), ("discovery",)) as peers:
         upstreams = [peer.port for peer in peers[:-1]]
         for _ in range(options.rounds):
             for root in (ROOT, options.other) if options.other else (ROOT,):
@@ -112,10 +119,10 @@
 def _measure(
     root: Path, upstreams: list[int], discovery: int, options: argparse.Namespace
 ) -> dict[str, object]:
-    """Run the sidecar of one checkout under the load; return the figures."""
+    """Run the sidecar of one checkout under the load. Return the figures."""
     with tempfile.TemporaryDirectory() as name:
-        process, port = start_daemon(Path(name), upstreams, discovery, options.sockets, root)
-        load = _play(port, process.pid, options.seconds, options.crowd, options.rate)
+        process, port = start_sidecar(Path(name), upstreams, discovery, options.sockets, root)
+        load = _run_load(port, process.pid, options.seconds, options.crowd, options.rate)
         figures = asyncio.run(load)
         process.terminate()
         process.wait()
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -1,7 +1,7 @@
-"""CPU time per exchange of the daemon, of a bare relay and of a minimal aiohttp proxy, in one run.
+"""CPU time per request of the sidecar, of a plain relay and of a minimal aiohttp proxy, in one run.
 
-They take turns, round by round, between the same peers. Each figure is the CPU time of the process by the
-system's count, over the exchanges of one round. The proxy takes part if aiohttp is installed
+They take turns, round by round, between the same peers. Each figure is the CPU time of the process, as the
+system counts it, divided by the requests of one round. The aiohttp proxy takes part if aiohttp is installed
 (``pip install '.[benchmarks]'``). Run as
 ``python -m benchmarks.exchange [--rounds N] [--requests N] [--rate R] [--other CHECKOUT]``.
 """
@@ -24,7 +24,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-_CONNECTIONS = 16  # of the load
+_CONNECTIONS = 16  # that carry the load
 _START_ATTEMPTS = 400
 _START_INTERVAL_S = 0.01
 SETTINGS: dict[str, Any] = {
@@ -47,8 +47,8 @@
 }
 
 
-class Role:
-    """A peer of the benchmark in a process of its own."""
+class Peer:
+    """A peer of the benchmark, in a process of its own."""
 
     def __init__(self, *args: str) -> None:
         self.process = subprocess.Popen(
@@ -67,17 +67,17 @@
         return int(server.getsockname()[1])
 
 
-def start_daemon(
-    tmp: Path, upstreams: list[int], discovery: int, sockets: int = 1024, root: Path = ROOT
+def start_sidecar(
+    directory: Path, upstreams: list[int], discovery: int, sockets: int = 1024, root: Path = ROOT
 ) -> tuple[subprocess.Popen[bytes], int]:
-    """Start the daemon of a checkout. Return its process and port when it accepts connections."""
+    """Start the sidecar of a checkout. Return its process and port once it accepts connections."""
     port = free_port()
     endpoints = [
         {"name": f"s-{i}", "address": f"127.0.0.1:{upstream}", "zone": "z", "type": "m", "group": i % 3,
          "status": "Ready", "weight": 1.0, "since_ms": 0}
         for i, upstream in enumerate(upstreams)
     ]  # fmt: skip
-    config = tmp / f"config-{port}.json"
+    config = directory / f"config-{port}.json"
     config.write_text(
         json.dumps(
             {
@@ -95,13 +95,13 @@
         [sys.executable, "-B", "-m", "indigokeel"],
         cwd=root,
         env={**os.environ, "BALANCER_CONFIG": str(config)},
-        stderr=(tmp / "log").open("ab"),
+        stderr=(directory / "log").open("ab"),
     )
     for _ in range(_START_ATTEMPTS):
         with contextlib.suppress(OSError), socket.create_connection(("127.0.0.1", port)):
             return process, port
         time.sleep(_START_INTERVAL_S)
-    raise SystemExit("the daemon did not start")
+    raise SystemExit("the sidecar did not start")
 
 
 def cpu(pid: int) -> float:
@@ -133,31 +133,31 @@
 
 
 @contextlib.contextmanager
-def roles(*starts: tuple[str, ...]) -> Iterator[list[Role]]:
-    """Run peers, each given by its role and arguments, within a context."""
-    started: list[Role] = []
+def running_peers(*commands: tuple[str, ...]) -> Iterator[list[Peer]]:
+    """Run peers within a context, each given by its role and the arguments of the role."""
+    started: list[Peer] = []
     try:
-        for args in starts:
-            started.append(Role(*args))
+        for args in commands:
+            started.append(Peer(*args))
         yield started
     finally:
-        for role in started:
-            role.process.kill()
-            role.process.wait()
+        for started_peer in started:
+            started_peer.process.kill()
+            started_peer.process.wait()
 
 
 def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--requests", type=int, default=8000, help="in each round")
-    parser.add_argument("--rate", type=float, default=0.0, help="requests a second; 0: without a limit")
+    parser.add_argument("--requests", type=int, default=8000, help="requests in each round")
+    parser.add_argument("--rate", type=float, default=0.0, help="requests per second; 0: unlimited")
     parser.add_argument("--upstreams", type=int, default=2)
-    parser.add_argument("--other", type=Path, help="another checkout, whose daemon takes turns too")
+    parser.add_argument("--other", type=Path, help="another checkout, whose sidecar takes turns too")
     return parser.parse_args()
 
 
 def _measure(candidates: dict[str, tuple[int, int]], options: argparse.Namespace) -> dict[str, list[float]]:
-    """Run the rounds. Return the CPU time per exchange in us, by candidate, without the first round."""
+    """Run the rounds. Return the CPU time per request in us of all rounds but the first, by candidate."""
     results: dict[str, list[float]] = {name: [] for name in candidates}
     for number in range(options.rounds + 1):
         for name, (pid, port) in candidates.items():
@@ -175,42 +175,45 @@
     for name, figures in results.items():
         median_us = statistics.median(figures)
         print(
-            f"{name:8} {median_us:7.1f} us of CPU an exchange ({min(figures):.1f} to {max(figures):.1f}),"
-            f" {median_us / relay_us:.1f} times the relay"
+            f"{name:8} {median_us:7.1f} us of CPU per request ({min(figures):.1f} to {max(figures):.1f}),"
+            f" {median_us / relay_us:.1f} times that of the relay"
         )
 
 
 def _proxies(upstreams: list[int]) -> list[tuple[str, ...]]:
-    """Return the roles that the daemon is compared with."""
+    """Return the proxies that the sidecar is compared with, each by its role and arguments."""
     proxies: list[tuple[str, ...]] = [("relay", str(upstreams[0]))]
     if importlib.util.find_spec("aiohttp"):
         proxies.append(("aiohttp", *map(str, upstreams)))
     else:
-        print("aiohttp is not installed: its proxy is left out")
+        print("aiohttp is not installed; its proxy is left out")
     return proxies
 
 
 def main() -> None:
     """Run the benchmark and print its results."""
     options = _parse_arguments()
-    starts = [("upstream",)] * options.upstreams
-    with roles(*starts, ("discovery",)) as peers, tempfile.TemporaryDirectory() as tmp:
+    upstream_commands = [("upstream",)] * options.upstreams
+    with (
+        running_peers(*upstream_commands, ("discovery",)) as peers,
+        tempfile.TemporaryDirectory() as directory,
+    ):
         upstreams = [peer.port for peer in peers[:-1]]
         discovery = peers[-1].port
         proxies = _proxies(upstreams)
-        with roles(*proxies) as proxy_roles:
-            daemons = {"daemon": start_daemon(Path(tmp), upstreams, discovery)}
+        with running_peers(*proxies) as proxy_peers:
+            sidecars = {"sidecar": start_sidecar(Path(directory), upstreams, discovery)}
             if options.other:
-                daemons["other"] = start_daemon(Path(tmp), upstreams, discovery, root=options.other)
-            candidates = {name: (process.pid, port) for name, (process, port) in daemons.items()}
-            for (name, *_), role in zip(proxies, proxy_roles, strict=True):
-                candidates[name] = (role.process.pid, role.port)
+                sidecars["other"] = start_sidecar(Path(directory), upstreams, discovery, root=options.other)
+            candidates = {name: (process.pid, port) for name, (process, port) in sidecars.items()}
+            for (name, *_), proxy in zip(proxies, proxy_peers, strict=True):
+                candidates[name] = (proxy.process.pid, proxy.port)
             try:
                 results = _measure(candidates, options)
-                for name, (process, _) in daemons.items():
+                for name, (process, _) in sidecars.items():
                     print(f"{name:8} {memory_kb(process.pid)} kB resident after all rounds")
             finally:
-                for process, _ in daemons.values():
+                for process, _ in sidecars.values():
                     process.kill()
             _print_summary(results)
 
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,6 +1,7 @@
-"""Memory per idle connection, to clients in the daemon and to upstreams in a pool of this process.
+"""Memory per idle connection: client connections of the sidecar, and upstream connections of this process.
 
-The connections to clients have carried one request each and are counted before the daemon closes them. Run as
+Each client connection has carried one request, and the memory is read before the sidecar closes any. The
+upstream connections are in a connection pool of this process. Run as
 ``python -m benchmarks.idle [--connections N]``.
 """
 
@@ -16,7 +17,7 @@
 
 import uvloop
 
-from benchmarks.exchange import memory_kb, roles, start_daemon
+from benchmarks.exchange import memory_kb, running_peers, start_sidecar
 from indigokeel.net.upstream import (
     CloseReason,
     ConnectFailure,
@@ -32,7 +33,7 @@
 _POLL_INTERVAL_S = 0.01
 _SETTLE_S = 0.5
 _WARM_UP_CONNECTIONS = 20
-_BATCH = 100  # connects that are started without a pause
+_BATCH = 100  # connects started without a pause
 
 _REQUEST = (
     b"GET /view/k%d HTTP/1.1\r\nHost: a\r\nRequest-Id: %x\r\nRequest-Class: view\r\n"
@@ -41,7 +42,7 @@
 
 
 class _IgnoringHandler:
-    """A connection's handler that does nothing (ConnectionHandler)."""
+    """A handler of an upstream connection that does nothing (ConnectionHandler)."""
 
     def __init__(self, connection: UpstreamConnection) -> None:
         self.connection = connection
@@ -57,7 +58,7 @@
 
 
 async def _open_clients(port: int, connections: int) -> list[asyncio.StreamWriter]:
-    """Open connections to the daemon, with one request served on each."""
+    """Open connections to the sidecar, and have one request served on each."""
     writers = []
     for number in range(connections):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -68,7 +69,7 @@
 
 
 async def _bytes_per_client(pid: int, port: int, connections: int) -> float:
-    """Return the memory of the daemon for one idle connection to a client."""
+    """Return the memory of the sidecar for one idle client connection."""
     for writer in await _open_clients(port, _WARM_UP_CONNECTIONS):
         writer.close()
     await asyncio.sleep(_SETTLE_S)
@@ -81,7 +82,7 @@
 
 
 async def _bytes_per_upstream(port: int, connections: int) -> float:
-    """Return the memory of this process for one idle connection to an upstream."""
+    """Return the memory of this process for one idle upstream connection."""
     pool = ConnectionPool(
         ConnectionLimits(connections, connections, connections),
         _IgnoringHandler,
@@ -116,14 +117,17 @@
     options = parser.parse_args()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    with roles(("upstream",), ("discovery",)) as (upstream, discovery), tempfile.TemporaryDirectory() as name:
-        process, port = start_daemon(Path(name), [upstream.port], discovery.port, 20 * options.connections)
+    with (
+        running_peers(("upstream",), ("discovery",)) as (upstream, discovery),
+        tempfile.TemporaryDirectory() as name,
+    ):
+        process, port = start_sidecar(Path(name), [upstream.port], discovery.port, 20 * options.connections)
         try:
             with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
                 size = runner.run(_bytes_per_upstream(upstream.port, options.connections))
-                print(f"to an upstream, idle: {size:.0f} bytes", flush=True)
+                print(f"idle upstream connection: {size:.0f} bytes", flush=True)
                 size = runner.run(_bytes_per_client(process.pid, port, options.connections))
-                print(f"of a client, idle after its first request: {size:.0f} bytes", flush=True)
+                print(f"client connection, idle after its first request: {size:.0f} bytes", flush=True)
         finally:
             process.kill()
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,8 @@
-"""Goodput of the daemon at 50% to 300% of the load that its core can carry.
+"""Goodput of the sidecar at 50% to 300% of the load that one core can carry.
 
-The load is open-loop, from four processes. Goodput is the priority weight of the requests answered within the
-latency objective over that of all requests. Two checkouts can take turns. Run as
+The load is open-loop and comes from four processes. Goodput is the sum of the priority weights of the
+requests served within the latency objective, divided by that of all requests. The sidecars of two checkouts
+can take turns. Run as
 ``python -m benchmarks.overload [--capacity R] [--other DIR]``.
 """
 
@@ -16,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.exchange import ROOT, cpu, roles, start_daemon, submit
+from benchmarks.exchange import ROOT, cpu, running_peers, start_sidecar, submit
 
 _PRIORITY_WEIGHTS = {"view": 2.0, "order": 10.0}
 _LOAD_PROCESSES = 4
@@ -26,7 +27,7 @@
 _CAPACITY_CONNECTIONS = 16
 _FAILURES = ("late", "refused", "failed", "lost", "no_connection")
 
-Daemon = tuple[subprocess.Popen[bytes], int]
+SidecarProcess = tuple[subprocess.Popen[bytes], int]
 
 
 def run_load(port: int, rate: float, seconds: float, connections: int, seed: int) -> dict[str, float]:
@@ -58,17 +59,19 @@
     return summary
 
 
-def _measure_capacity(daemon: Daemon) -> float:
-    """Return the requests that a second of CPU carries."""
-    process, port = daemon
+def _measure_capacity(sidecar: SidecarProcess) -> float:
+    """Return how many requests the sidecar serves with one second of CPU time."""
+    process, port = sidecar
     submit(port, _CAPACITY_CONNECTIONS, _WARM_UP_REQUESTS)
     before = cpu(process.pid)
     submit(port, _CAPACITY_CONNECTIONS, _CAPACITY_REQUESTS)
     return _CAPACITY_REQUESTS / (cpu(process.pid) - before)
 
 
-def _run_level(name: str, daemon: Daemon, level: int, capacity: float, options: argparse.Namespace) -> None:
-    process, port = daemon
+def _run_level(
+    name: str, sidecar: SidecarProcess, level: int, capacity: float, options: argparse.Namespace
+) -> None:
+    process, port = sidecar
     before = cpu(process.pid)
     summary = run_load(port, capacity * level / 100, options.seconds, options.connections, level)
     cpu_ratio = (cpu(process.pid) - before) / options.seconds
@@ -78,7 +81,12 @@
 
 def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--capacity", type=float, default=0.0, help="requests a second; 0: measured first")
+    parser.add_argument(
+        "--capacity",
+        type=float,
+        default=0.0,
+        help="requests per second that one core carries; 0: measure it first",
+    )
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--connections", type=int, default=3000)
     parser.add_argument("--other", type=Path)
@@ -91,22 +99,25 @@
     options = _parse_arguments()
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    checkouts = {"daemon": ROOT, **({"other": options.other} if options.other else {})}
-    with roles(("upstream",), ("upstream",), ("discovery",)) as peers, tempfile.TemporaryDirectory() as tmp:
+    checkouts = {"this": ROOT, **({"other": options.other} if options.other else {})}
+    with (
+        running_peers(("upstream",), ("upstream",), ("discovery",)) as peers,
+        tempfile.TemporaryDirectory() as directory,
+    ):
         upstreams = [peer.port for peer in peers[:-1]]
         discovery = peers[-1].port
-        daemons = {
-            name: start_daemon(Path(tmp), upstreams, discovery, _SOCKETS, root)
+        sidecars = {
+            name: start_sidecar(Path(directory), upstreams, discovery, _SOCKETS, root)
             for name, root in checkouts.items()
         }
         try:
-            capacity = options.capacity or _measure_capacity(daemons["daemon"])
-            print(f"one core carries {capacity:.0f} requests a second", flush=True)
+            capacity = options.capacity or _measure_capacity(sidecars["this"])
+            print(f"one core carries {capacity:.0f} requests per second", flush=True)
             for level in options.levels:
-                for name, daemon in daemons.items():
-                    _run_level(name, daemon, level, capacity, options)
+                for name, sidecar in sidecars.items():
+                    _run_level(name, sidecar, level, capacity, options)
         finally:
-            for process, _ in daemons.values():
+            for process, _ in sidecars.values():
                 process.kill()
 
 
--- a/benchmarks/pick.py
+++ b/benchmarks/pick.py
@@ -1,7 +1,8 @@
-"""What the balancer costs by the request, by the size of the fleet and the rate; and what its odds are.
+"""Time of the balancer per request, by fleet size and request rate, and how evenly it spreads the load.
 
-The module runs alone, on a clock of its own. Upstreams differ in speed by a factor of two, answer in some
-tens of ms and report with each answer. Run as ``python -m benchmarks.pick [--rates R ...] [--sizes N ...]``.
+The balancer runs alone, on a simulated clock. The simulated upstreams differ in speed by a factor of two,
+respond after some tens of ms and send a load report with each response. Run as
+``python -m benchmarks.pick [--rates R ...] [--sizes N ...]``.
 """
 
 from __future__ import annotations
@@ -37,82 +38,90 @@
 
 
 def members(count: int) -> tuple[Member, ...]:
-    """A fleet in three zones and cells of ten."""
+    """Return a fleet in three zones, with replica groups of ten."""
     return tuple(
         Member(f"s-{i}", zone=f"z{i % 3}", kind=f"k{i % 3}", replica_group=i // 10, started=0.0)
         for i in range(count)
     )
 
 
-def play(upstreams: int, rate: float, requests: int, seed: int = 1, warm_up: float = 4.0) -> dict[str, float]:
-    """Play requests at ``rate`` a second; what one costs in microseconds once the window is full, and how
-    evenly what was sent lies on the upstreams."""
+def simulate(
+    upstreams: int, rate: float, requests: int, seed: int = 1, warm_up: float = 4.0
+) -> dict[str, float]:
+    """Simulate ``rate`` requests per second.
+
+    Return what was measured after ``warm_up`` seconds, when the balancer's time windows are full:
+    its time per request in microseconds, the imbalance of the load, and the number of upstreams used. The
+    imbalance is the coefficient of variation, over the upstreams, of attempts divided by speed.
+    """
     random = Random(seed)
     balancer = Balancer(SETTINGS, seed)
     balancer.handle(0.0, MembershipUpdate(UpdateKind.CACHED, members(upstreams)))
     speed = {f"s-{i}": random.uniform(0.7, 1.4) for i in range(upstreams)}
-    busy = dict.fromkeys(speed, 0.0)  # a decaying count of what each serves
-    seen = dict.fromkeys(speed, 0.0)
-    heap: list[tuple[float, int, Event]] = []
-    number, spent, counted, now = 0, 0, 0, 1000.0
+    recent_rate = dict.fromkeys(speed, 0.0)  # requests of each per second, exponentially decaying
+    decayed_at = dict.fromkeys(speed, 0.0)
+    event_queue: list[tuple[float, int, Event]] = []
+    number, spent_ns, counted, now = 0, 0, 0, 1000.0
     sent: dict[str, int] = {}
     began = now
     arrival = now
     total = int(rate * warm_up) + requests
 
-    def feed(event: Event) -> None:
-        nonlocal spent, number
+    def handle_event(event: Event) -> None:
+        nonlocal spent_ns, number
         before = time.perf_counter_ns()
         actions = balancer.handle(now, event)
         if counting:
-            spent += time.perf_counter_ns() - before
+            spent_ns += time.perf_counter_ns() - before
         for action in actions:
             if isinstance(action, SendAttempt):
                 upstream = action.upstream
                 sent[upstream] = sent.get(upstream, 0) + counting
-                busy[upstream] = busy[upstream] * 2.718281828 ** (seen[upstream] - now) + 1.0
-                seen[upstream] = now
-                qps = busy[upstream]
-                took = random.uniform(0.03, 0.08) / speed[upstream]
-                load = LoadReport(rate=qps, utilisation=min(qps * 0.02 / speed[upstream], 1.0))
+                recent_rate[upstream] = (
+                    recent_rate[upstream] * 2.718281828 ** (decayed_at[upstream] - now) + 1.0
+                )
+                decayed_at[upstream] = now
+                qps = recent_rate[upstream]
+                latency_s = random.uniform(0.03, 0.08) / speed[upstream]
+                report = LoadReport(rate=qps, utilisation=min(qps * 0.02 / speed[upstream], 1.0))
                 number += 1
-                ended = AttemptEnded(action.id, upstream, 0, AttemptOutcome.OK, took, True, load)
-                heapq.heappush(heap, (now + took, number, ended))
+                ended = AttemptEnded(action.id, upstream, 0, AttemptOutcome.OK, latency_s, True, report)
+                heapq.heappush(event_queue, (now + latency_s, number, ended))
             elif isinstance(action, SetTimer):
                 number += 1
-                heapq.heappush(heap, (now + action.delay, number, TimerFired(action.token)))
+                heapq.heappush(event_queue, (now + action.delay, number, TimerFired(action.token)))
 
     for request in range(total):
         counting = arrival - began >= warm_up
-        while heap and heap[0][0] <= arrival:
-            now, _, event = heapq.heappop(heap)
-            feed(event)
+        while event_queue and event_queue[0][0] <= arrival:
+            now, _, event = heapq.heappop(event_queue)
+            handle_event(event)
         now = arrival
         counted += counting
-        feed(RequestArrived(f"r{request}", "view", 1.2))
+        handle_event(RequestArrived(f"r{request}", "view", 1.2))
         arrival += random.expovariate(rate)
-    shares = [sent.get(name, 0) / speed[name] for name in speed]
-    mean = statistics.fmean(shares)
+    relative_loads = [sent.get(name, 0) / speed[name] for name in speed]
+    mean = statistics.fmean(relative_loads)
     return {
-        "us": spent / 1e3 / max(counted, 1),
-        "imbalance": statistics.pstdev(shares) / mean if mean else 0.0,
+        "us": spent_ns / 1e3 / max(counted, 1),
+        "imbalance": statistics.pstdev(relative_loads) / mean if mean else 0.0,
         "used": sum(1 for n in sent.values() if n),
     }
 
 
 def compare(sizes: list[int], rates: list[int], seeds: int, seconds: float) -> None:
-    """The index against the whole wheel laid out, on the same seeds: cost, and how evenly load lies."""
+    """Compare the selection index with a scan of the whole subset, on the same seeds: time and imbalance."""
     for upstreams in sizes:
         for rate in rates:
-            rows: dict[str, list[dict[str, float]]] = {"index": [], "whole": []}
+            rows: dict[str, list[dict[str, float]]] = {"index": [], "scan": []}
             for seed in range(1, seeds + 1):
                 for kind, found in rows.items():
                     subsetting.MAX_SCANNED_UPSTREAMS = 16 if kind == "index" else 10**9
-                    found.append(play(upstreams, rate, int(rate * seconds), seed))
+                    found.append(simulate(upstreams, rate, int(rate * seconds), seed))
             differences = [
-                a["imbalance"] - b["imbalance"] for a, b in zip(rows["index"], rows["whole"], strict=True)
+                a["imbalance"] - b["imbalance"] for a, b in zip(rows["index"], rows["scan"], strict=True)
             ]
-            spread = statistics.stdev(differences) / len(differences) ** 0.5 if seeds > 1 else 0.0
+            standard_error = statistics.stdev(differences) / len(differences) ** 0.5 if seeds > 1 else 0.0
             print(
                 f"{upstreams} upstreams, {rate} requests/s: "
                 + ", ".join(
@@ -120,7 +129,7 @@
                     f"{statistics.fmean(f['imbalance'] for f in found):.3f}"
                     for kind, found in rows.items()
                 )
-                + f"; difference {statistics.fmean(differences):+.4f} (standard error {spread:.4f})",
+                + f"; difference {statistics.fmean(differences):+.4f} (standard error {standard_error:.4f})",
                 flush=True,
             )
 
@@ -132,20 +141,26 @@
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", action="store_true")
-    parser.add_argument("--compare", type=int, default=0, metavar="SEEDS", help="index against whole wheel")
+    parser.add_argument(
+        "--compare",
+        type=int,
+        default=0,
+        metavar="SEEDS",
+        help="compare the selection index with a scan of the subset, on so many seeds",
+    )
     options = parser.parse_args()
     if options.compare:
         compare(options.sizes, options.rates, options.compare, options.seconds)
         return
     for upstreams in options.sizes:
-        row = [play(upstreams, rate, int(rate * options.seconds), options.seed) for rate in options.rates]
+        row = [simulate(upstreams, rate, int(rate * options.seconds), options.seed) for rate in options.rates]
         if options.json:
             print(json.dumps({"nodes": upstreams, "rates": options.rates, "found": row}))
         else:
             print(
                 f"{upstreams:5} upstreams: "
                 + " / ".join(f"{found['us']:6.1f}" for found in row)
-                + " us a request",
+                + " us per request",
                 flush=True,
             )
 
