--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -129,11 +129,11 @@
         timeout_s = random.choice((0.0, 0.001, 0.2))
         held.append(pool.acquire(upstream, address, timeout_s, _hold_when_ready(held)))
         while len(held) > _MAX_HELD or (held and random.random() < 0.4):
-            found = held.pop(random.randrange(len(held)))
-            if isinstance(found, ConnectionWaiter):
-                pool.cancel(found)
+            chosen = held.pop(random.randrange(len(held)))
+            if isinstance(chosen, ConnectionWaiter):
+                pool.cancel(chosen)
             else:
-                pool.release(found, random.random() < 0.3)
+                pool.release(chosen, random.random() < 0.3)
         if random.random() < 0.01:
             pool.close_to(upstream)
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
@@ -160,17 +160,17 @@
     parser.add_argument("--opens", type=int, default=200_000)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
-    began = time.monotonic()
+    started_at = time.monotonic()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(run_load(options.opens, options.seed))
-    print(f"{options.opens} opens in {time.monotonic() - began:.1f} s: {found}")
+        results = runner.run(run_load(options.opens, options.seed))
+    print(f"{options.opens} opens in {time.monotonic() - started_at:.1f} s: {results}")
     remaining = (
-        found["in_table"]
-        + found["waiting"]
-        + found.get("descriptor_audit_missing", 0)
-        + found.get("descriptor_audit_leaked", 0)
+        results["in_table"]
+        + results["waiting"]
+        + results.get("descriptor_audit_missing", 0)
+        + results.get("descriptor_audit_leaked", 0)
     )
-    raise SystemExit(1 if remaining or found["sockets_remaining"] > 0 else 0)
+    raise SystemExit(1 if remaining or results["sockets_remaining"] > 0 else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -53,7 +53,7 @@
     port: int, number: int, outcomes: Counter[str], latencies_s: list[float]
 ) -> None:
     """Send an ordinary request. Count its outcome, and record its latency if it gets a response."""
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(_message(number))
@@ -63,7 +63,7 @@
     except (OSError, EOFError, TimeoutError) as error:
         outcomes[type(error).__name__] += 1
         return
-    elapsed_s = time.perf_counter() - began
+    elapsed_s = time.perf_counter() - started_at
     latencies_s.append(elapsed_s)
     in_time = b" 200 " in line and elapsed_s <= _LATENCY_OBJECTIVE_S
     outcomes["in time" if in_time else line.decode().split()[1]] += 1
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -49,13 +49,13 @@
 DEADLINE_S = 1.2  # of each request
 LATE_RESPONSE_GRACE_S = 0.3  # after the deadline; then a request counts as unanswered
 REPLACEMENT_BATCHES = 10
-REPLACEMENT_START, REPLACEMENT_SPAN = 0.1, 0.7  # of the replacements, as fractions of the time of requests
+REPLACEMENT_START, REPLACEMENT_SPAN = 0.1, 0.7  # of the replacements, as fractions of --seconds
 SAMPLE_INTERVAL_S = 0.05  # between two counts of the open descriptors
 READY_TIMEOUT_S = 10.0
 LAST_RESPONSES_TIMEOUT_S = 2.0
 TERMINATION_TIMEOUT_S = 5.0  # after SIGTERM; then the process is killed
 SIDECAR_SOCKETS = 576  # the descriptor limit in its configuration
-SIDECARS = 14  # that share the fleet, as their settings tell them
+SIDECARS = 14  # that share the fleet, according to the settings
 BODY = b"x" * 64
 
 GROWTH_SETTINGS: dict[str, Any] = {
@@ -101,7 +101,7 @@
     share_served: float
     cpu_ready: float  # s of CPU time until the sidecar was ready
     time_ready: float  # s until the sidecar was ready
-    answers: dict[str, int]
+    answers: dict[str, int]  # the number of requests by result
     clients_lag: float  # s; the longest delay between the due time of a request and its start
     counts: PeerCounts
 
--- a/benchmarks/growth_peers.py
+++ b/benchmarks/growth_peers.py
@@ -30,12 +30,12 @@
 HANDSHAKE_S = 0.005  # more for the first request of a connection
 LOAD_AVERAGING_S = 1.0  # time constant of the reported utilisation and rate
 EMPTY_LINE_INTERVAL_S = 2.0  # between two empty lines that keep a watch alive while nothing changes
-DRAIN_S = 1.0  # from the update that an upstream drains to its end
-DRAIN_GRACE_S = 0.25 + 0.05  # after that update, requests may still come: the setting and some slack
+DRAIN_S = 1.0  # between the update that marks an upstream as draining and its end
+DRAIN_GRACE_S = 0.25 + 0.05  # after that update, in which requests may still arrive: the setting plus slack
 LAG_SAMPLE_INTERVAL_S = 0.05  # of the event loop's lag
 ZONES = 3
 REPLICA_GROUP_SIZE = 10
-BURST_S, MIN_BURST = 1.0, 2.0  # accepted at once: the requests of this time, and at least so many
+BURST_S, MIN_BURST = 1.0, 2.0  # of the token bucket: the capacity over this time, at least so many requests
 BODY = b"done"
 
 
@@ -61,7 +61,7 @@
         self.slots, self.counts, self.random = slots, counts, random
         self._capacity, self._burst = capacity, max(capacity * BURST_S, MIN_BURST)
         self._tokens, self._refilled = self._burst, time.monotonic()
-        self.drained_at = math.inf  # monotonic time of the update that it drains
+        self.draining_since = math.inf  # monotonic time of the update that marks it as draining
         self.connections: set[UpstreamConnection] = set()
         self._queue: deque[UpstreamConnection] = deque()
         self._in_progress, self._used = 0, False
@@ -92,10 +92,10 @@
         self.counts.requests += 1
         self.counts.upstreams_used += not self._used
         self._used = True
-        self.counts.after_drain += first_byte_at > self.drained_at + DRAIN_GRACE_S
+        self.counts.after_drain += first_byte_at > self.draining_since + DRAIN_GRACE_S
         self._rate = self._decay(self._rate) + 1.0 / LOAD_AVERAGING_S
         full = self._in_progress + len(self._queue) >= 2 * self.slots
-        if self.drained_at < math.inf or full or not self._take_token():
+        if self.draining_since < math.inf or full or not self._take_token():
             self.counts.rejected += 1
             connection.respond(b"503 Service Unavailable", b"Not-Started: 1\r\n" + self._load_report(), b"")
         elif self._in_progress >= self.slots:
@@ -239,7 +239,7 @@
         self._in_service.extend(new)
         for upstream in old:
             upstream.entry["status"] = "Terminating"
-            upstream.drained_at = time.monotonic()
+            upstream.draining_since = time.monotonic()
         for upstream in new:
             upstream.entry["since_ms"] = round(now * 1000.0)
         self._publish(*old, *new)
@@ -256,7 +256,7 @@
         for upstream in upstreams:
             name = upstream.entry["name"]
             self._entries[name], self._changed_at[name] = upstream.entry, self.index
-        line = self._line(self._update(self.index - 1))
+        line = self._encode(self._update(self.index - 1))
         for writer in self._watches:
             self._write(writer, line)
 
@@ -268,7 +268,7 @@
         target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1]
         self.counts.list_calls += 1
         if b"watch=1" not in target:
-            body = self._line(self.snapshot())
+            body = self._encode(self.snapshot())
             self._write(
                 writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body, chunk=False
             )
@@ -277,7 +277,7 @@
         self._write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", chunk=False)
         after = int(target.rpartition(b"after=")[2])
         if after != self.index:
-            self._write(writer, self._line(self._update(after) if after else self.snapshot()))
+            self._write(writer, self._encode(self._update(after) if after else self.snapshot()))
         self._watches.add(writer)
         try:
             while not writer.is_closing():
@@ -287,7 +287,7 @@
             self._watches.discard(writer)
 
     @staticmethod
-    def _line(message: dict[str, Any]) -> bytes:
+    def _encode(message: dict[str, Any]) -> bytes:
         return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
     def _write(self, writer: asyncio.StreamWriter, *pieces: bytes, chunk: bool = True) -> None:
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -97,8 +97,8 @@
 
     before = memory_kb(os.getpid())
     for _ in range(connections):
-        found = pool.acquire("n", ("127.0.0.1", port), _CONNECT_TIMEOUT_S, on_result)
-        assert not isinstance(found, UpstreamConnection)
+        acquired = pool.acquire("n", ("127.0.0.1", port), _CONNECT_TIMEOUT_S, on_result)
+        assert not isinstance(acquired, UpstreamConnection)
         if len(pool.table) % _BATCH == 0:
             await asyncio.sleep(_POLL_INTERVAL_S)
     while len(established) < connections:
--- a/benchmarks/pick.py
+++ b/benchmarks/pick.py
@@ -63,7 +63,7 @@
     event_queue: list[tuple[float, int, Event]] = []
     number, spent_ns, counted, now = 0, 0, 0, 1000.0
     sent: dict[str, int] = {}
-    began = now
+    first_arrival = now
     arrival = now
     total = int(rate * warm_up) + requests
 
@@ -92,7 +92,7 @@
                 heapq.heappush(event_queue, (now + action.delay, number, TimerFired(action.token)))
 
     for request in range(total):
-        counting = arrival - began >= warm_up
+        counting = arrival - first_arrival >= warm_up
         while event_queue and event_queue[0][0] <= arrival:
             now, _, event = heapq.heappop(event_queue)
             handle_event(event)
@@ -115,9 +115,9 @@
         for rate in rates:
             rows: dict[str, list[dict[str, float]]] = {"index": [], "scan": []}
             for seed in range(1, seeds + 1):
-                for kind, found in rows.items():
+                for kind, runs in rows.items():
                     subsetting.MAX_SCANNED_UPSTREAMS = 16 if kind == "index" else 10**9
-                    found.append(simulate(upstreams, rate, int(rate * seconds), seed))
+                    runs.append(simulate(upstreams, rate, int(rate * seconds), seed))
             differences = [
                 a["imbalance"] - b["imbalance"] for a, b in zip(rows["index"], rows["scan"], strict=True)
             ]
@@ -125,9 +125,9 @@
             print(
                 f"{upstreams} upstreams, {rate} requests/s: "
                 + ", ".join(
-                    f"{kind} {statistics.median(f['us'] for f in found):.0f} us, imbalance "
-                    f"{statistics.fmean(f['imbalance'] for f in found):.3f}"
-                    for kind, found in rows.items()
+                    f"{kind} {statistics.median(run['us'] for run in runs):.0f} us, imbalance "
+                    f"{statistics.fmean(run['imbalance'] for run in runs):.3f}"
+                    for kind, runs in rows.items()
                 )
                 + f"; difference {statistics.fmean(differences):+.4f} (standard error {standard_error:.4f})",
                 flush=True,
@@ -159,7 +159,7 @@
         else:
             print(
                 f"{upstreams:5} upstreams: "
-                + " / ".join(f"{found['us']:6.1f}" for found in row)
+                + " / ".join(f"{result['us']:6.1f}" for result in row)
                 + " us per request",
                 flush=True,
             )
