--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,4 @@
-"""Ends of a client connection, or of the process, that cross with a request or a response."""
+"""Closes of a client connection, and shutdowns of the process, that race with a request or a response."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Held(Peer):
-    """An upstream that responds to nothing until ``let`` is set."""
+    """An upstream that sends no response until the event ``let`` is set."""
 
     def __init__(self, script: Callable[[Message], bytes] = echo) -> None:
         self.let = threading.Event()
@@ -52,13 +52,13 @@
         super().__init__(wait)
 
 
-def reset(conn: socket.socket) -> None:
+def close_with_reset(conn: socket.socket) -> None:
     conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     conn.close()
 
 
 def read_all(conn: socket.socket) -> bytes:
-    """Return all bytes up to the end of the stream; raise if it is reset."""
+    """Return all bytes up to the end of the stream; raise if the connection is reset."""
     got = b""
     while data := conn.recv(1 << 16):
         got += data
@@ -66,24 +66,24 @@
 
 
 def settings_with_deadlines(**classes: float) -> dict[str, Any]:
-    """Return the settings with other deadlines, by class."""
+    """Return the settings with the deadlines of the given classes replaced."""
     named = [
         {**cls, "deadline-s": classes.get(cls["name"], cls["deadline-s"])} for cls in SETTINGS["classes"]
     ]
     return {**SETTINGS, "classes": named}
 
 
-# --- bytes that are unread when a connection ends -----------------------------------------------------------
+# --- unread bytes when a connection is closed ---------------------------------------------------------------
 
 
-@pytest.mark.parametrize("behind", [request(), b"noise" * 4, b"x" * 150_000, request() * 12])
-def test_last_answer_arrives_whole_over_bytes_that_are_not_read(tmp_path: Path, behind: bytes) -> None:
-    """A close over unread bytes resets the connection, and the response is lost. The bytes have arrived
-    before the upstream responds."""
+@pytest.mark.parametrize("unread", [request(), b"noise" * 4, b"x" * 150_000, request() * 12])
+def test_last_response_arrives_complete_despite_unread_bytes(tmp_path: Path, unread: bytes) -> None:
+    """Closing a socket that has unread bytes resets the connection, and the response is lost. Here the bytes
+    arrive before the upstream responds."""
     with running(tmp_path, Held(lambda _: ok(BIG))) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
         until(lambda: len(upstream.got) == 1)
-        sender = threading.Thread(target=conn.sendall, args=(behind,))
+        sender = threading.Thread(target=conn.sendall, args=(unread,))
         sender.start()
         sender.join(WAIT)
         program.counters()
@@ -92,11 +92,11 @@
         code, answer = read_answer(file)
         assert (code, answer.body) == (200, BIG) and answer.headers["connection"] == "close"
         assert file.read() == b"" and len(upstream.got) == 1
-        until(lambda: program.counters()["client_connections_open"] == 1)  # the counters' own has gone
+        until(lambda: program.counters()["client_connections_open"] == 1)  # only this client's
 
 
 @pytest.mark.parametrize("size", [0, 1, 100_000, 200_000])
-def test_word_on_what_is_refused_arrives_behind_a_flood(tmp_path: Path, size: int) -> None:
+def test_error_response_arrives_despite_a_flood_of_bytes(tmp_path: Path, size: int) -> None:
     with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(b"garbage\r\n\r\n" + b"x" * size)
@@ -105,7 +105,7 @@
         assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
 
-def test_endless_flood_gets_an_error_and_is_closed_and_costs_no_memory(tmp_path: Path) -> None:
+def test_endless_flood_gets_an_error_and_its_connection_is_closed(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
         conns = [program.connect() for _ in range(8)]
 
@@ -115,10 +115,10 @@
                 while True:
                     conn.sendall(b"x" * 65536)
 
-        floods = [threading.Thread(target=flood, args=(conn,)) for conn in conns]
-        for one in floods:
+        senders = [threading.Thread(target=flood, args=(conn,)) for conn in conns]
+        for one in senders:
             one.start()
-        for one in floods:
+        for one in senders:
             one.join(WAIT)
             assert not one.is_alive()
         until(lambda: program.counters()["client_connections_open"] <= 1)
@@ -127,9 +127,10 @@
             conn.close()
 
 
-def test_nothing_that_comes_after_the_own_end_is_taken(tmp_path: Path) -> None:
-    """The shutdown ends an idle connection, whose client writes once it reads the end, and then stays.
-    Nothing of that is parsed or forwarded, and the shutdown does not wait for the client for good."""
+def test_request_sent_after_the_shutdown_closed_its_connection_is_ignored(tmp_path: Path) -> None:
+    """The shutdown half-closes an idle connection; its client sends a request after reading the end of the
+    stream and leaves the connection open. The request is neither parsed nor forwarded, and the shutdown does
+    not wait for the client indefinitely."""
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request())
         file = conn.makefile("rb")
@@ -146,32 +147,32 @@
         ) == (1, 0)
 
 
-# --- a client that leaves while its request waits ---------------------------------------------------------
+# --- clients that disconnect while their requests wait ----------------------------------------------------
 
 
 def _half_close(conn: socket.socket) -> None:
     conn.shutdown(socket.SHUT_WR)
 
 
-LEAVING = [socket.socket.close, reset, _half_close]
-LONG_BODY = b"y" * 90_000  # the system takes it all, so that its client's end can be seen behind it
+LEAVING = [socket.socket.close, close_with_reset, _half_close]
+LONG_BODY = b"y" * 90_000  # fits into the socket buffers, so that the client's close can be detected after it
 
 
 @pytest.mark.parametrize("leave", LEAVING)
 @pytest.mark.parametrize(
-    "behind",
+    "pipelined",
     [
         request("pay", b"2"),
-        request("pay", b"2") + b"noise\r\n\r\n",  # an error is noted behind it
-        request("pay", b"2") * 9,  # too many ahead
-        request("pay", LONG_BODY),  # its body is not read on
+        request("pay", b"2") + b"noise\r\n\r\n",  # followed by a malformed message
+        request("pay", b"2") * 9,  # more than may be pipelined
+        request("pay", LONG_BODY),  # its body is not read while the earlier request runs
         request("pay", b"2") + request("pay", LONG_BODY),
     ],
 )
-def test_request_whose_client_disconnected_behind_an_earlier_one_is_not_forwarded(
-    tmp_path: Path, behind: bytes, leave: Callable[[socket.socket], None]
+def test_pipelined_request_whose_client_disconnected_is_not_forwarded(
+    tmp_path: Path, pipelined: bytes, leave: Callable[[socket.socket], None]
 ) -> None:
-    """The event loop does not report that a client has closed while reading is paused."""
+    """While reading is paused, the event loop does not report that a client has closed its connection."""
     with running(tmp_path, Held()) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"1"))
@@ -179,11 +180,11 @@
 
         def send() -> None:
             with contextlib.suppress(OSError):
-                conn.sendall(behind)
+                conn.sendall(pipelined)
 
         sender = threading.Thread(target=send)
         sender.start()
-        sender.join(0.3)  # a long one is held up, for nothing of it is read
+        sender.join(0.3)  # a long request blocks here, as none of it is read
         leave(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
         upstream.let.set()  # type: ignore[attr-defined]
@@ -199,7 +200,7 @@
 def test_requests_whose_clients_disconnect_in_a_burst_are_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
-    """The requests wait because there is no upstream; one is added after all clients have left."""
+    """The requests wait because there is no upstream; one is added after all clients have disconnected."""
     with running(tmp_path, echo, sockets=1024) as (program, (upstream,), discovery):
         until(lambda: bool(discovery.watches))
         discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
@@ -221,7 +222,8 @@
 
 @contextlib.contextmanager
 def unresponsive_listener() -> Iterator[tuple[socket.socket, Callable[[], None]]]:
-    """Yield the listener of an upstream that accepts no connection, and a function that makes it accept."""
+    """Yield a listener whose backlog is full, so that connects to it hang, and a function that empties the
+    backlog."""
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener, contextlib.ExitStack() as stack:
         fillers = [stack.enter_context(socket.socket()) for _ in range(4)]
         for filler in fillers:
@@ -236,7 +238,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVING)
-def test_request_whose_client_disconnected_while_its_connection_opened_is_not_forwarded(
+def test_request_whose_client_disconnected_during_the_connect_is_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
     settings = {
@@ -260,7 +262,7 @@
         assert program.counters()["attempts_waiting"] == 0
         discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
         until(lambda: program.ask(request("pay", b"2"))[0] == 200)
-        # What came up late, if anything did, carries nothing.
+        # A connection established late, if there is one, carries no request.
         listener.settimeout(1.5)
         with contextlib.suppress(TimeoutError):
             while True:
@@ -272,11 +274,11 @@
         conn.close()
 
 
-# --- the end of the process -------------------------------------------------------------------------------
+# --- shutdown of the process ------------------------------------------------------------------------------
 
 
-def test_answers_that_are_not_written_out_at_the_end_still_go_out(tmp_path: Path) -> None:
-    """The event loop has them, but their client has not read them when the process is to end."""
+def test_responses_still_buffered_at_sigterm_are_delivered(tmp_path: Path) -> None:
+    """At SIGTERM the responses are in the event loop's write buffers: their client has not read them yet."""
     with running(tmp_path, lambda _: ok(BIG)) as (program, _, _d), socket.socket() as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         conn.settimeout(WAIT)
@@ -286,7 +288,7 @@
             conn.sendall(b"".join(request("pay", b"x") for _ in range(8)))
             until(lambda: program.counters().get("answers_written", 0) == 8 * number)  # noqa: B023
         program.process.send_signal(signal.SIGTERM)
-        with contextlib.suppress(Exception):  # the old program is gone by then
+        with contextlib.suppress(Exception):  # a process that drops the responses exits within this time
             program.process.wait(1.2)
         file = conn.makefile("rb")
         for _ in range(8 * rounds):
@@ -294,38 +296,38 @@
         assert file.read() == b"" and program.process.wait(WAIT) == 0
 
 
-@pytest.mark.parametrize("sent", [True, False])
-def test_request_that_could_wait_longer_than_the_process_is_answered_before_it_ends(
-    tmp_path: Path, sent: bool
+@pytest.mark.parametrize("has_attempt", [True, False])
+def test_request_whose_timeout_exceeds_the_shutdown_is_answered_before_the_exit(
+    tmp_path: Path, has_attempt: bool
 ) -> None:
-    """SIGKILL comes 3 s and 0.7 s after SIGTERM where the longest deadline is over 3 s: a request that was
-    accepted for a minute has its response before that, whether its attempt hangs or it has none."""
+    """SIGKILL follows SIGTERM after 3.7 s (3 s and a margin of 0.7 s) where the longest deadline exceeds 3 s.
+    A request with a timeout of a minute is answered before that, whether its attempt hangs or it has none."""
     with running(tmp_path, Held(), settings=settings_with_deadlines(pay=60.0)) as (
         program,
         (upstream,),
         discovery,
     ):
-        if not sent:
+        if not has_attempt:
             until(lambda: bool(discovery.watches))
             discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
             until(lambda: program.ask(HEALTH)[0] == 503)
         with program.connect() as conn:
             conn.sendall(request("pay", b"1", wait_ms=60_000))
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
-            until(lambda: len(upstream.got) == int(sent))
+            until(lambda: len(upstream.got) == int(has_attempt))
             program.process.send_signal(signal.SIGTERM)
             file = conn.makefile("rb")
             code, answer = read_answer(file)
-            assert code == (500 if sent else 503) and answer.headers["connection"] == "close"
+            assert code == (500 if has_attempt else 503) and answer.headers["connection"] == "close"
             assert file.read() == b"" and program.process.wait(WAIT) == 0
             assert program.last_counters()["requests_unanswered"] == 0
 
 
-def test_request_at_each_step_of_the_shutdown_has_one_answer_or_is_not_accepted(
+def test_request_at_each_step_of_the_shutdown_gets_one_response_or_is_not_accepted(
     tmp_path: Path,
 ) -> None:
-    """Clients send and pause in turn through the whole shutdown: each request either has a complete
-    response, or its connection ended and nothing of it was forwarded."""
+    """Clients send requests one after another through the whole shutdown: each request either gets a complete
+    response, or its connection is closed and the request was not forwarded."""
     with running(tmp_path, echo) as (program, (upstream,), _):
         wrong: list[object] = []
         answered: list[bytes] = []
@@ -339,7 +341,7 @@
                 try:
                     conn.sendall(request("pay", body))
                     code, answer = read_answer(file)
-                except OSError:  # the end, between two requests
+                except OSError:  # closed between two requests
                     break
                 if code == 200 and answer.body == body:
                     answered.append(body)
@@ -347,7 +349,7 @@
                     wrong.append((code, answer))
                 if answer.headers.get("connection") == "close":
                     if file.read() != b"":
-                        wrong.append("bytes behind the last answer")
+                        wrong.append("bytes after the last response")
                     break
                 if turn == 5:
                     ready.wait(WAIT)
@@ -379,7 +381,8 @@
 
 
 def test_sigterm_before_the_first_endpoint_list(tmp_path: Path) -> None:
-    """Lists are pushed and the agent is silent: requests have responses, and the end is graceful."""
+    """Endpoint lists are pushed, and the agent sends none: requests are still answered, and the shutdown is
+    graceful."""
     from tests.test_watch import PUSHED, Agent
 
     agent = Agent()
@@ -398,11 +401,11 @@
     until(lambda: program.counters().get("requests_accepted", 0) == count)
 
 
-def test_message_whose_last_byte_comes_as_the_process_ends_is_answered(
+def test_request_completed_late_in_the_shutdown_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A partial request may be completed for a short time after the listener has closed. Its last byte
-    arrives when that time is over, and before the shutdown checks for the last time what is owed."""
+    """A partial request may be completed for a short time after the listener has closed. Here its last byte
+    arrives after that time, just before the shutdown checks whether any request is unanswered."""
     upstream = Peer(echo)
     config = tmp_path / "config.json"
     known = parse_endpoint_list(entry("s-0", upstream.port))
@@ -425,15 +428,15 @@
 
         monkeypatch.setattr(RequestService, "answers_owed", late)
 
-        async def play() -> None:
+        async def serve() -> None:
             served = asyncio.create_task(sidecar.serve(loaded, listener))
             conn.connect(listener.getsockname())
             conn.sendall(message[:-1])
-            await asyncio.sleep(0.1)  # it is accepted and half of it read; a longer time does no harm
+            await asyncio.sleep(0.1)  # until it is accepted and partly read; a longer sleep does no harm
             os.kill(os.getpid(), signal.SIGTERM)
             await served
 
-        asyncio.run(play())
+        asyncio.run(serve())
         code, answer = read_answer(conn.makefile("rb"))
         assert sent == 1 and (code, answer.body) == (200, b"last")
     upstream.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,9 @@
-"""The program on real sockets, with scripted peers: the life of a request, the four rules, its end."""
+"""The program on real sockets with scripted peers: requests, discovery, limits on connections, shutdown.
+
+Four rules of the program have tests of their own: a request is answered by its deadline (rule 1), an unsafe
+request that may have run is not sent again (2), draining upstreams get no requests (3), and a new upstream
+gets fewer (4).
+"""
 
 from __future__ import annotations
 
@@ -88,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "code"),
+    ("sent", "code"),
     [
         (b"garbage\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 40_000, 431),
@@ -99,11 +104,11 @@
     ],
 )
 def test_malformed_messages_get_an_error_and_the_connection_is_closed(
-    tmp_path: Path, raw: bytes, code: int
+    tmp_path: Path, sent: bytes, code: int
 ) -> None:
     with running(tmp_path, echo) as (program, upstreams, _):
         with program.connect() as conn:
-            conn.sendall(raw)
+            conn.sendall(sent)
             file = conn.makefile("rb")
             assert read_answer(file)[0] == code and file.read() == b""
         assert program.ask(b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 400
@@ -127,22 +132,22 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" * 50 + ok(), 500),
     ],
 )
-def test_bad_answer_of_a_node_is_an_ending_and_is_not_sent_again(
+def test_bad_response_of_an_upstream_ends_an_unsafe_request_without_a_retry(
     tmp_path: Path, answer: bytes | None, code: int
 ) -> None:
-    """Rule 2: only the upstream's own word proves that an unsafe request has not run."""
+    """Rule 2: only the header Not-Started of the upstream proves that an unsafe request has not run."""
 
     with running(tmp_path, lambda message: answer) as (program, upstreams, _):
         assert program.ask(request("pay", b"x", 400))[0] == code
         assert len(upstreams[0].got) == 1 and program.process.poll() is None
 
 
-@pytest.mark.parametrize("ahead", [b"", b"HTTP/1.1 102 Processing\r\n\r\n" * 3])
-@pytest.mark.parametrize("behind", [ok(b"strange"), b"noise", b"\r\n"])
-def test_nothing_left_behind_a_response_reaches_the_next_request(
-    tmp_path: Path, ahead: bytes, behind: bytes
+@pytest.mark.parametrize("leading", [b"", b"HTTP/1.1 102 Processing\r\n\r\n" * 3])
+@pytest.mark.parametrize("trailing", [ok(b"strange"), b"noise", b"\r\n"])
+def test_bytes_after_a_response_do_not_reach_the_next_request(
+    tmp_path: Path, leading: bytes, trailing: bytes
 ) -> None:
-    with running(tmp_path, lambda m: ahead + ok(m.body) + behind) as (program, _, _d):
+    with running(tmp_path, lambda m: leading + ok(m.body) + trailing) as (program, _, _d):
         for body in (b"first", b"second", b"third"):
             code, answer = program.ask(request("pay", body))
             assert (code, answer.body) == (200, body)
@@ -150,37 +155,37 @@
 
 
 def test_rejected_request_is_served_elsewhere(tmp_path: Path) -> None:
-    turned = status(503, "Not-Started: 1\r\n")
-    with running(tmp_path, lambda m: turned, echo, lambda m: turned) as (program, _, _d):
+    rejection = status(503, "Not-Started: 1\r\n")
+    with running(tmp_path, lambda m: rejection, echo, lambda m: rejection) as (program, _, _d):
         got = [program.ask(request("pay", b"x", 600))[0] for _ in range(8)]
         assert 200 in got and set(got) <= {200, 503}
 
 
-def test_machine_that_is_gone_without_a_word_leaves_time_for_another(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as silent, contextlib.ExitStack() as stack:
-        for _ in range(3):  # its queue is full: further connections never come up
+def test_connect_that_hangs_leaves_time_for_another_upstream(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full, contextlib.ExitStack() as stack:
+        for _ in range(3):  # fills the backlog: further connects hang
             conn = stack.enter_context(socket.socket())
             conn.setblocking(False)
-            conn.connect_ex(silent.getsockname())
+            conn.connect_ex(full.getsockname())
         with running(tmp_path, echo) as (program, upstreams, discovery):
-            gone = entry("s-9", silent.getsockname()[1])
-            both = parse_endpoint_list(entry("s-0", upstreams[0].port), gone, index=2)
+            unreachable = entry("s-9", full.getsockname()[1])
+            both = parse_endpoint_list(entry("s-0", upstreams[0].port), unreachable, index=2)
             discovery.push(json.dumps(both).encode())
             until(lambda: program.counters().get("endpoint_lists") == 1)
             codes = [program.ask(request("pay", b"x", 240))[0] for _ in range(30)]
             assert set(codes) == {200} and program.counters()["attempt_no_connection"] > 0
 
 
-def test_rule_1_hung_nodes_do_not_hold_the_answer_past_the_deadline(tmp_path: Path) -> None:
+def test_rule_1_hung_upstreams_do_not_delay_the_answer_past_the_deadline(tmp_path: Path) -> None:
     with running(tmp_path, hang, hang) as (program, _, _d):
         assert program.ask(request("pay", b"x", 300))[0] == 500
         assert program.counters()["attempt_cancelled"] == 1
 
 
-def test_rule_3_nothing_goes_to_a_node_that_drains(tmp_path: Path) -> None:
+def test_rule_3_no_request_goes_to_a_draining_upstream(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo) as (program, upstreams, discovery):
-        drained = parse_endpoint_list(entry("s-0", upstreams[0].port, "Terminating"), index=2, whole=False)
-        discovery.push(json.dumps(drained).encode())
+        update = parse_endpoint_list(entry("s-0", upstreams[0].port, "Terminating"), index=2, whole=False)
+        discovery.push(json.dumps(update).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(12):
             assert program.ask(request())[0] == 200
@@ -189,18 +194,18 @@
         until(lambda: program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503)
 
 
-def test_rule_4_a_fresh_node_gets_less(tmp_path: Path) -> None:
+def test_rule_4_a_new_upstream_gets_fewer_requests(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo) as (program, upstreams, discovery):
-        fresh = entry("s-9", upstreams[0].port, since_ms=int(time.time() * 1000))
+        new = entry("s-9", upstreams[0].port, since_ms=int(time.time() * 1000))
         old = entry("s-1", upstreams[1].port)
-        discovery.push(json.dumps(parse_endpoint_list(fresh, old, index=2)).encode())
+        discovery.push(json.dumps(parse_endpoint_list(new, old, index=2)).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(60):
             assert program.ask(request())[0] == 200
         assert 0 < len(upstreams[0].got) < 25
 
 
-def test_watch_that_ends_or_cannot_be_read_is_asked_for_again(tmp_path: Path) -> None:
+def test_watch_that_ends_or_is_malformed_is_reopened(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, upstreams, discovery):
         discovery.push(b"")
         discovery.push(b"{not json")
@@ -214,9 +219,10 @@
         assert program.ask(request())[0] == 200 and program.counters()["watches_ended"] == 2
 
 
-def test_sighup_that_comes_as_the_file_is_read_is_taken_in_once_the_program_serves(tmp_path: Path) -> None:
-    """The configuration is a pipe, so that the program stands at its first step; what takes its place
-    moves discovery. Before, a SIGHUP then ended the program."""
+def test_sighup_during_the_first_read_of_the_configuration_reloads_it_at_start(tmp_path: Path) -> None:
+    """Guards against a SIGHUP during the first read of the configuration that ends the program. The
+    configuration is a named pipe, so that the program blocks on it; the file that replaces it holds another
+    address of discovery."""
     old, new, path = DiscoveryClient(), DiscoveryClient(), tmp_path / "config.json"
     data = {
         "name": "n0",
@@ -232,7 +238,7 @@
     os.mkfifo(path)
     process = start(path, (tmp_path / "log").open("wb"))
     try:
-        with path.open("w") as pipe:  # once the program reads
+        with path.open("w") as pipe:  # returns once the program has opened it to read
             process.send_signal(signal.SIGHUP)
             os.replace(moved, path)
             pipe.write(json.dumps(data))
@@ -245,37 +251,37 @@
         process.wait()
 
 
-def test_run_line_ignores_sighup_until_the_program_listens_for_it() -> None:
-    """A signal that comes while the interpreter starts would end the process: nobody handles it yet."""
+def test_run_command_ignores_sighup_until_the_program_handles_it() -> None:
+    """A SIGHUP that comes while the interpreter starts would end the process: no handler is installed yet."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     program = "exec .venv/bin/python -B -m indigokeel"
     assert run.endswith(program)
-    asked = run.removesuffix(program) + "exec grep SigIgn /proc/self/status"
-    found = subprocess.run(["/bin/sh", "-c", asked], capture_output=True, text=True, check=True).stdout
+    command = run.removesuffix(program) + "exec grep SigIgn /proc/self/status"
+    found = subprocess.run(["/bin/sh", "-c", command], capture_output=True, text=True, check=True).stdout
     assert int(found.split()[1], 16) & 1 << (signal.SIGHUP - 1)
 
 
-def test_sighup_moves_the_watch_and_an_unreadable_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo) as (program, upstreams, discovery):
         until(lambda: len(discovery.watches) == 1)
         good = json.loads(program.config.read_text())
-        bad = ("{", "{}", json.dumps({**good, "discovery": "nowhere"}))
-        for number, text in enumerate(bad, 1):
+        invalid = ("{", "{}", json.dumps({**good, "discovery": "nowhere"}))
+        for number, text in enumerate(invalid, 1):
             program.config.write_text(text)
             program.process.send_signal(signal.SIGHUP)
-            # Each by itself: signals of one kind that wait are merged.
+            # One at a time: pending signals of the same number are merged.
             until(partial(program.logged, "the configuration is unchanged", number))
         until(lambda: program.counters()["reloads_failed"] == 3)
         for version in (2, 3):
             newer = DiscoveryClient()
             program.config.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{newer.port}"}))
-            for _ in range(version):  # several at once are one move
+            for _ in range(version):  # several signals at once move the watch only once
                 program.process.send_signal(signal.SIGHUP)
             until(lambda: len(newer.watches) == 1)  # noqa: B023
-            # The old watch ends once the new one is up, and that is no failure.
+            # The old watch ends once the new one is open; this does not count as a failure.
             assert discovery.watches[-1].recv(1) == b""
-            drained = entry("s-0", upstreams[0].port, "Terminating" if version == 2 else "Ready")
-            newer.push(json.dumps(parse_endpoint_list(drained, index=version, whole=False)).encode())
+            endpoint = entry("s-0", upstreams[0].port, "Terminating" if version == 2 else "Ready")
+            newer.push(json.dumps(parse_endpoint_list(endpoint, index=version, whole=False)).encode())
             until(lambda: program.counters().get("endpoint_lists") == version - 1)  # noqa: B023
             discovery.close()
             discovery = newer
@@ -298,7 +304,7 @@
         assert program.counters()["requests_unanswered"] == 0
 
 
-def test_idle_connection_that_the_node_closed_is_not_used(tmp_path: Path) -> None:
+def test_idle_connection_that_the_upstream_closed_is_not_reused(tmp_path: Path) -> None:
     with running(tmp_path, lambda message: b"!" + echo(message)) as (program, upstreams, _):
         for count in (1, 2):
             assert program.ask(request("pay", b"x"))[0] == 200
@@ -306,7 +312,7 @@
         assert program.counters()["upstream_connections"] == 2 and len(upstreams[0].got) == 2
 
 
-def test_running_out_of_descriptors_is_survived(tmp_path: Path) -> None:
+def test_program_survives_running_out_of_descriptors(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
         # The system allows far fewer than the configuration says.
         soft = len(os.listdir(f"/proc/{program.process.pid}/fd")) + 6
@@ -314,7 +320,7 @@
         with contextlib.ExitStack() as stack:
             for _ in range(20):
                 stack.enter_context(program.connect())
-            # Those over the bound are closed, whether it was met on accept or before.
+            # The connections over the limit are closed, whether it was reached on accept or before.
             until(lambda: program.counters()["client_connections_open"] < 20)
 
         def served() -> bool:
@@ -326,7 +332,8 @@
 
 
 def test_connections_are_bounded_and_those_without_a_request_are_evicted(tmp_path: Path) -> None:
-    """Found on days with crowds: hundreds connect and say nothing, or ask for health and stay."""
+    """Guards against crowds: hundreds of clients that connect and send nothing, or that send a health check
+    and stay connected."""
     with running(tmp_path, echo, sockets=40) as (program, _, _d), contextlib.ExitStack() as stack:
         worker = stack.enter_context(program.connect())
         file = worker.makefile("rb")
@@ -341,23 +348,24 @@
         assert program.counters()["client_connections_open"] <= 8
 
 
-def test_message_that_grows_keeps_its_place_before_those_that_do_not(tmp_path: Path) -> None:
-    """Found on days with crowds: a true request written for 2 s was closed for a newcomer after 0.5 s."""
+def test_client_that_sends_its_request_slowly_is_not_evicted_before_silent_ones(tmp_path: Path) -> None:
+    """Guards against the eviction of a client that sends its request slowly: one that took 2 s to send was
+    evicted after 0.5 s to make room for a new connection."""
     with running(tmp_path, echo, sockets=40) as (program, _, _d), contextlib.ExitStack() as stack:
         slow = stack.enter_context(program.connect())
-        raw = request("pay", b"x")
-        for at in range(10):  # the oldest of all, and longer under way than any
-            slow.sendall(raw[at * 9 : at * 9 + 9])
+        message = request("pay", b"x")
+        for at in range(10):  # the oldest connection, and the request that has been arriving for the longest
+            slow.sendall(message[at * 9 : at * 9 + 9])
             conn = stack.enter_context(program.connect())
             conn.sendall(b"POST /pay/1 HTTP/1.1\r\nHost")
             time.sleep(0.12)
-        slow.sendall(raw[90:])
+        slow.sendall(message[90:])
         assert read_answer(slow.makefile("rb"))[0] == 200
         assert program.counters()["clients_evicted"] >= 1
 
 
 @pytest.mark.parametrize(
-    ("raw", "expected"),
+    ("sent", "expected"),
     [
         (b"", b""),
         (b"GET /view/1 HTTP/1.1\r\nHost:", b"HTTP/1.1 408 "),
@@ -372,18 +380,19 @@
         (request("odd"), b"HTTP/1.1 400 "),
     ],
 )
-def test_bad_clients_get_an_error_or_a_close_within_3_s(tmp_path: Path, raw: bytes, expected: bytes) -> None:
+def test_bad_clients_get_an_error_or_a_close_within_3_s(tmp_path: Path, sent: bytes, expected: bytes) -> None:
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         began, got = time.monotonic(), b""
         with contextlib.suppress(ConnectionError):
-            conn.sendall(raw)
+            conn.sendall(sent)
             while data := conn.recv(1000):
                 got += data
         assert time.monotonic() - began < 3.0 and got.startswith(expected) and upstreams[0].got == []
 
 
 def test_responses_end_their_connection_when_clients_hold_many(tmp_path: Path) -> None:
-    """Found in an incident: connections that asked once and stayed used up the share of the others."""
+    """Guards against idle connections that use up the limit: in an incident, clients that had sent a single
+    request and stayed connected left no room for others."""
     with running(tmp_path, echo, sockets=60) as (program, _, _d), contextlib.ExitStack() as stack:
         ended = []
         for _ in range(16):
@@ -393,11 +402,11 @@
         assert ended == [False] * 10 + [True] * 6
 
 
-def test_sigterm_answers_what_was_taken_and_ends(tmp_path: Path) -> None:
-    go = threading.Event()
+def test_accepted_requests_are_answered_after_sigterm_and_the_process_exits(tmp_path: Path) -> None:
+    respond = threading.Event()
 
     def slow(message: Message) -> bytes:
-        go.wait(WAIT)
+        respond.wait(WAIT)
         return echo(message)
 
     with (
@@ -408,9 +417,9 @@
         conn.sendall(request("pay", b"x", 15_000))
         until(lambda: len(upstreams[0].got) == 1)
         program.process.send_signal(signal.SIGTERM)
-        # The idle connection is closed once nothing new is taken; the request's is not.
+        # The idle connection is closed once no new request is accepted; the one with a request stays open.
         assert idle.recv(1) == b""
-        go.set()
+        respond.set()
         code, answer = read_answer(conn.makefile("rb"))
         assert (code, answer.body, answer.headers["connection"]) == (200, b"x", "close")
         assert program.process.wait(WAIT) == 0
@@ -419,7 +428,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "", "{}", "[1]", '{"listen":"x"}'])
-def test_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str | None) -> None:
+def test_bad_configuration_logs_one_line_and_exits_with_2(tmp_path: Path, text: str | None) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -439,9 +448,9 @@
 def test_request_that_a_stalled_process_cannot_answer_in_time_is_rejected_at_once(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
 
-        def refused() -> bool:
+        def is_shed() -> bool:
             program.process.send_signal(signal.SIGSTOP)
-            time.sleep(2.0)  # the stall: long enough for one late beat to tell
+            time.sleep(2.0)  # long enough for a single lag sample to show that the loop is overloaded
             program.process.send_signal(signal.SIGCONT)
             with program.connect() as conn, conn.makefile("rb") as file:
                 for _ in range(20):
@@ -451,12 +460,12 @@
                         return message.headers["retry-after"] == "0.250"
             return False
 
-        until(refused)
+        until(is_shed)
         until(lambda: program.ask(request())[0] == 200)
 
 
 def test_fast_upstreams_are_sent_requests_for_good_without_hedging(tmp_path: Path) -> None:
-    """Guards against a learned time for an attempt that is too short for it to be sent."""
+    """Guards against a learned attempt timeout that is too short for the attempt to be sent."""
     limits = {**SETTINGS["limits"], "second-copies": False}
     classes = [{"name": "view", "objective-s": 5.0, "deadline-s": 5.0, "effect": "safe"}]
     settings = {**SETTINGS, "classes": classes, "limits": limits}
@@ -471,10 +480,10 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP])
-def test_signals_in_series_up_to_the_end_leave_the_exit_status(
+def test_repeated_signals_during_shutdown_do_not_change_the_exit_status(
     tmp_path: Path, number: signal.Signals
 ) -> None:
-    """Guards against a signal that meets the process after its handlers are gone, and kills it."""
+    """Guards against a signal that kills the process because it comes after the handlers were removed."""
     for _ in range(3):
         with running(tmp_path, echo) as (program, _, _discovery):
             assert program.ask(request())[0] == 200
@@ -485,13 +494,13 @@
 
 
 @pytest.mark.parametrize(("class_name", "body", "code"), [("pay", b"7", 200), ("view", None, 503)])
-def test_answer_after_the_latency_objective_reaches_clients_that_cannot_ask_again(
+def test_late_response_is_delivered_to_clients_that_cannot_retry(
     tmp_path: Path, class_name: str, body: bytes | None, code: int
 ) -> None:
-    """Guards against a 500 to a payment that its upstream carries out while its client still waits."""
+    """Guards against a 500 for a payment that its upstream carries out while the client still waits."""
 
     def late(message: Message) -> bytes:
-        time.sleep(1.0)  # the objective is 0.6 s, the client waits for 5 s
+        time.sleep(1.0)  # the latency objective is 0.6 s, the client's timeout 5 s
         return echo(message)
 
     with running(tmp_path, late) as (program, (upstream,), _discovery):
