--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the process under load: SIGKILL as early as it may come, and faults within the shutdown."""
+"""Shutdown under load: SIGKILL at the earliest time that it may come, and faults in the shutdown itself."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from indigokeel.process.shutdown import ShutdownTimes
 from indigokeel.requests.coordinator import RequestCoordinator
 from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_answer, request, running, until
-from tests.test_supervision import Fault, Running
+from tests.test_supervision import Fault, RunningSidecar
 
-STARVED_S = 0.05  # a pause of the whole machine for so long says nothing of the program
-PLAYS = 10
+STARVED_S = 0.05  # a run in which the machine itself paused for this long proves nothing
+MAX_RUNS = 10
 
 
 def deadlines(seconds: float) -> dict[str, Any]:
-    """The settings with one deadline for all classes."""
+    """Return the settings with the same deadline for all classes."""
     return {
         **SETTINGS,
         "classes": [
@@ -39,19 +39,20 @@
     }
 
 
-# --- SIGKILL early ----------------------------------------------------------------------------------------
+# --- an early SIGKILL -------------------------------------------------------------------------------------
 
 
 class Client:
-    """Sends on one open connection until it breaks, also behind an answer that ends it, and reads all
-    answers. ``ahead`` requests are out at a time; ``halves``: half of the next one always is, too."""
+    """Sends requests on one connection until it breaks, even after a response that closes it, and reads all
+    responses. At most ``depth`` requests are unanswered at a time; with ``split``, half of the next one is
+    always sent as well."""
 
-    def __init__(self, program: Program, ahead: int, halves: bool) -> None:
+    def __init__(self, program: Program, depth: int, split: bool) -> None:
         self.conn = program.connect()
-        self.ahead, self.halves = ahead, halves
-        self.sent: list[str] = []  # ids, in their order; the last may not be whole
+        self.depth, self.split = depth, split
+        self.sent_ids: list[str] = []  # request ids in their order; the last request may be incomplete
         self.answers = 0
-        self.broken: object = None  # what came that is no whole answer
+        self.error: object = None  # the error that reading an incomplete response raised
         self.threads = [threading.Thread(target=run, daemon=True) for run in (self._read, self._send)]
         for thread in self.threads:
             thread.start()
@@ -60,13 +61,13 @@
         rest = b""
         try:
             while True:
-                while len(self.sent) - self.answers >= self.ahead:
+                while len(self.sent_ids) - self.answers >= self.depth:
                     if not self.threads[0].is_alive():
                         return
                     time.sleep(0.001)
                 message = request("pay", b"x" * 50)
-                cut = len(message) // 2 if self.halves else len(message)
-                self.sent.append(message.partition(b"Request-Id: ")[2][:16].decode())
+                cut = len(message) // 2 if self.split else len(message)
+                self.sent_ids.append(message.partition(b"Request-Id: ")[2][:16].decode())
                 self.conn.sendall(rest + message[:cut])
                 rest = message[cut:]
                 time.sleep(0.001)
@@ -82,7 +83,7 @@
         except ConnectionResetError:
             return
         except Exception as error:
-            self.broken = error
+            self.error = error
 
     def join(self) -> None:
         for thread in self.threads:
@@ -91,7 +92,7 @@
 
 
 class Witness:
-    """Sees whether this machine stood still: by how much a short sleep took too long."""
+    """Detects that the machine paused: measures by how much short sleeps overrun."""
 
     def __init__(self) -> None:
         self.worst, self._ended = 0.0, threading.Event()
@@ -110,8 +111,8 @@
         return self.worst
 
 
-def play_early_kill(tmp: Path, deadline: float, listener: socket.socket | None) -> tuple[bool, list[object]]:
-    """One shutdown under load. Whether the machine kept step, and what was wrong."""
+def run_early_kill(tmp: Path, deadline: float, listener: socket.socket | None) -> tuple[bool, list[object]]:
+    """Run one shutdown under load; return whether the machine ran without pauses, and the faults found."""
     stop = threading.Event()
 
     def slow(message: Message) -> bytes:
@@ -120,8 +121,8 @@
         return echo(message)
 
     with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, upstreams, _):
-        shapes = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
-        clients = [Client(program, *shape) for shape in shapes]
+        client_options = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
+        clients = [Client(program, *options) for options in client_options]
         until(lambda: all(client.answers >= 3 for client in clients))
         witness = Witness()
         program.process.send_signal(signal.SIGTERM)
@@ -134,10 +135,10 @@
         for client in clients:
             client.join()
         stop.set()
-        wrong: list[object] = [client.broken for client in clients if client.broken is not None]
+        wrong: list[object] = [client.error for client in clients if client.error is not None]
         if code != 0:
-            wrong.append(f"ended with {code}")
-        answered = {name for client in clients for name in client.sent[: client.answers]}
+            wrong.append(f"exited with {code}")
+        answered = {name for client in clients for name in client.sent_ids[: client.answers]}
         seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.got}
         wrong += sorted(seen - answered)
         if code == 0:
@@ -151,47 +152,47 @@
 
 @pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize("deadline", [0.2, 0.5, 1.0])
-def test_all_that_was_read_is_answered_before_an_early_sigkill(
+def test_every_request_read_is_answered_before_an_early_sigkill(
     tmp_path: Path, deadline: float, shared: bool
 ) -> None:
-    """Clients go on sending on open connections until SIGKILL, as early as it may come. Found by
-    reading: with short deadlines a request accepted at the last instant lost its answer."""
-    for _ in range(PLAYS):
-        with socket.create_server(("127.0.0.1", 0)) as listener:  # the platform's own, where it is shared
-            sound, wrong = play_early_kill(tmp_path, deadline, listener if shared else None)
-        if sound:
+    """Clients keep sending on open connections until SIGKILL, at the earliest time that it may come. Guards
+    against a request that is accepted at the last moment and, with short deadlines, gets no response."""
+    for _ in range(MAX_RUNS):
+        with socket.create_server(("127.0.0.1", 0)) as listener:  # used as the platform's listener if shared
+            undisturbed, wrong = run_early_kill(tmp_path, deadline, listener if shared else None)
+        if undisturbed:
             assert wrong == []
             return
-    pytest.fail("the machine stood still in each play: this shows nothing")
+    pytest.fail("the machine paused in every run, so the result is inconclusive")
 
 
 @pytest.mark.parametrize("deadline", [0.01, 0.2, 0.5, 1.0, 3.0, 60.0])
-def test_steps_of_a_shutdown_are_in_order_and_before_sigkill(deadline: float) -> None:
+def test_steps_of_a_shutdown_are_ordered_and_before_sigkill(deadline: float) -> None:
     times = ShutdownTimes.plan(100.0, deadline, 0.5, 0.2)
     assert 100.0 < times.take_until < times.answer_by < times.close_at < times.exit_by
     assert times.exit_by < 100.0 + min(deadline, 3.0) + 0.7
-    # Taken last, it still has half of its deadline, or as much as any short request needs.
+    # A request read at the last moment still has half of its deadline, or the 50 ms that a short one needs.
     assert times.answer_by - times.take_until >= min(deadline / 2.0, 0.05) - 1e-9
-    # Accepted last, it is taken as always, but where the deadline is less than what an exit needs.
+    # Requests on the last accepted connection are still read, unless the deadline is shorter than an exit.
     assert times.take_until >= times.accept_until or deadline < 0.1
 
 
-def test_request_read_after_the_take_limit_is_rejected_and_not_forwarded(
+def test_request_read_too_late_in_the_shutdown_is_rejected_and_not_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last answer is due at once here, the end of all reading much later."""
+    """Here the time to accept requests ends at once, and the time to read from connections much later."""
 
     def plan(now: float, *_: float) -> ShutdownTimes:
         return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
 
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(ShutdownTimes, "plan", plan)
-    running = Running(tmp_path)
+    running = RunningSidecar(tmp_path)
 
     async def script() -> None:
         with socket.create_connection(running.listener.getsockname(), timeout=WAIT) as conn:
             first = request("pay", b"first")
-            conn.sendall(first[:-1])  # half of it is here, so that the connection stays
+            conn.sendall(first[:-1])  # a partial request keeps the connection open
             await asyncio.sleep(0.05)
             os.kill(os.getpid(), signal.SIGTERM)
             while not running.sidecar.closing:
@@ -201,10 +202,10 @@
             assert code == 503 and answer.headers["connection"] == "close"
             assert running.upstream.got == []
 
-    running.play(script)
+    running.run_script(script)
 
 
-# --- faults within the shutdown -----------------------------------------------------------------------------
+# --- faults in the shutdown ---------------------------------------------------------------------------------
 
 FAULTS: list[tuple[object, str]] = [
     (RequestCoordinator, "limit_deadlines"),
@@ -222,14 +223,14 @@
 
 
 @pytest.mark.parametrize(("owner", "method"), FAULTS)
-def test_fault_within_the_shutdown_leaves_no_request_unanswered(
+def test_fault_in_the_shutdown_leaves_no_request_unanswered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
 ) -> None:
-    """The upstream is silent, and from SIGTERM on the method raises each time: one whole answer still. A
-    connection that brought nothing stands beside, so that one is left to be closed."""
+    """The upstream does not respond, and from SIGTERM on the method raises on each call: the request still
+    gets a complete response. A second connection sends nothing, so that one remains to be closed."""
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
-    running = Running(tmp_path, deadlines(0.5))
+    running = RunningSidecar(tmp_path, deadlines(0.5))
     running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, owner, method, 0)
 
@@ -242,5 +243,5 @@
         assert await answer == 500
 
     with socket.create_connection(running.listener.getsockname()):
-        running.play(script)
+        running.run_script(script)
     assert running.counters["task_faults"] >= 1
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Every loop of the process goes on after an exception: one is forced into each, in the real sidecar."""
+"""Every loop of the process continues after an exception: one is injected into each, in the real sidecar."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 )
 
 PUSHED = {**SETTINGS, "membership-mode": "pushed"}
-PROBED = {
+HEALTH_CHECKED = {
     **SETTINGS,
     "telemetry": {**SETTINGS["telemetry"], "how": "probe"},
     "limits": {**SETTINGS["limits"], "probes": True},
@@ -50,11 +50,11 @@
 
 
 class UnforeseenError(Exception):
-    """What no code expects."""
+    """An error that no code handles by its type."""
 
 
 class Fault:
-    """Forced into a method: its first calls raise, the others go through. Counts the calls."""
+    """Makes the first calls of a method raise and passes on the others; counts the calls."""
 
     def __init__(self, patch: pytest.MonkeyPatch, owner: object, name: str, times: int) -> None:
         self.calls, self.times, self.active = 0, times, True
@@ -75,15 +75,15 @@
             await asyncio.sleep(0.005)
 
 
-class Running:
-    """The sidecar in this process, on the product's event loop, with one upstream and discovery."""
+class RunningSidecar:
+    """The sidecar in this process, on its production event loop (uvloop), with one upstream and discovery."""
 
     def __init__(self, tmp: Path, settings: dict[str, Any] = SETTINGS) -> None:
         self.upstream, self.discovery = Peer(echo), peers.DiscoveryClient()
         self.path, self.mgmt = tmp / "config.json", free_port(OPERATORS)
         self.data = {
             "name": "n0",
-            "listen": "127.0.0.1:1",  # not used: the listener is handed on
+            "listen": "127.0.0.1:1",  # not used: the listener is passed to run()
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "mgmt": f"{OPERATORS}:{self.mgmt}",
             "known": parse_endpoint_list(entry("s-0", self.upstream.port)),
@@ -91,16 +91,16 @@
         }
         self.path.write_text(json.dumps(self.data))
         environment = {"BALANCER_CONFIG": str(self.path), "TMPDIR": str(tmp)}
-        os.environ["BALANCER_CONFIG"] = str(self.path)  # a reload reads it again
+        os.environ["BALANCER_CONFIG"] = str(self.path)  # a reload reads the variable again
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.sidecar = sidecar.Sidecar(load_config(environment))
         self.counters: Counters = self.sidecar._counters
 
-    def play(self, script: Callable[[], Awaitable[None]]) -> None:
-        """Run ``script`` beside the sidecar, then end that in order."""
+    def run_script(self, script: Callable[[], Awaitable[None]]) -> None:
+        """Run ``script`` while the sidecar serves, then shut the sidecar down gracefully."""
 
-        async def both() -> None:
+        async def serve_and_run() -> None:
             served = asyncio.create_task(self.sidecar.run(self.listener))
             await until(lambda: self.sidecar.accepting or served.done())
             await script()
@@ -109,13 +109,13 @@
                 await served
 
         try:
-            uvloop.run(both())
+            uvloop.run(serve_and_run())
         finally:
             self.listener.close()
             for peer in (self.upstream, self.discovery):
                 peer.close()
 
-    async def serves(self) -> None:
+    async def check_serves(self) -> None:
         assert await asyncio.to_thread(self.ask, request("view")) == 200
 
     def ask(self, raw: bytes) -> int:
@@ -125,8 +125,8 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    """Short pauses, and the environment as it was."""
+def short_pauses(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    """Shorten the pauses, and restore the environment after the test."""
     monkeypatch.setattr(supervision, "_RESTART_PAUSE_S", 0.001)
     monkeypatch.setattr(housekeeping, "_CHECK_INTERVAL_S", 0.01)
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
@@ -136,45 +136,47 @@
 LOOPS: dict[str, tuple[object, str, dict[str, Any]]] = {
     "housekeeping": (ClientRegistry, "__iter__", SETTINGS),
     "idle connections": (UpstreamClient, "close_expired", SETTINGS),
-    "audit": (DescriptorLeakDetector, "look", SETTINGS),
+    "descriptor audit": (DescriptorLeakDetector, "look", SETTINGS),
     "state writer": (StatePersistence, "persist", SETTINGS),
     "state file": (StateFiles, "write", SETTINGS),
     "watch": (DiscoveryClient, "_keep_watching", SETTINGS),
-    "call of the watch": (DiscoveryClient, "_call", SETTINGS),
-    "word on the watch": (RequestCoordinator, "endpoint_watch_failed", SETTINGS),
-    "watch on an agent": (DiscoveryClient, "_keep_watching", PUSHED),
-    "call to an agent": (DiscoveryClient, "_call", PUSHED),
-    "management": (AdminServer, "listen", SETTINGS),
-    "beat": (RequestCoordinator, "sample_lag", SETTINGS),
-    "probe": (UpstreamClient, "check_health", PROBED),
+    "watch call": (DiscoveryClient, "_call", SETTINGS),
+    "report of a failed watch": (RequestCoordinator, "endpoint_watch_failed", SETTINGS),
+    "watch of pushed lists": (DiscoveryClient, "_keep_watching", PUSHED),
+    "watch call for pushed lists": (DiscoveryClient, "_call", PUSHED),
+    "admin server": (AdminServer, "listen", SETTINGS),
+    "lag sample": (RequestCoordinator, "sample_lag", SETTINGS),
+    "health check": (UpstreamClient, "check_health", HEALTH_CHECKED),
 }
 
 
 @pytest.mark.parametrize("name", LOOPS)
-def test_loop_goes_on_after_an_exception(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    """Found by reading: one exception in housekeeping or the state writer ended that task for good."""
+def test_loop_continues_after_an_exception(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str
+) -> None:
+    """Guards against an exception in housekeeping or the state writer that ends its task for good."""
     owner, method, settings = LOOPS[name]
-    if name == "word on the watch":  # which has to end for that
+    if name == "report of a failed watch":  # only a watch that ends is reported
         Fault(monkeypatch, DiscoveryClient, "_keep_watching", 3)
-    running = Running(tmp_path, settings)
+    running = RunningSidecar(tmp_path, settings)
     fault = Fault(monkeypatch, owner, method, 2)
 
     async def script() -> None:
         async with asyncio.timeout(WAIT):
             while fault.calls < 3:
-                await running.serves()  # requests set the pace of probes
-        await running.serves()
+                await running.check_serves()  # the rate of health checks follows that of requests
+        await running.check_serves()
 
-    running.play(script)
+    running.run_script(script)
     assert running.counters["task_faults"] >= 1
 
 
 @pytest.mark.parametrize("method", ["tick", "next_deadline"])
-def test_timer_goes_on_after_an_exception(
+def test_timer_continues_after_an_exception(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, method: str
 ) -> None:
-    """The upstream is silent, so that the one answer is the timer's work: the exceptions come before it."""
-    running = Running(tmp_path)
+    """The upstream does not respond: only the timer answers the request, after the exceptions."""
+    running = RunningSidecar(tmp_path)
     running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, RequestCoordinator, method, 0)
 
@@ -184,45 +186,45 @@
         fault.times = fault.calls + 3
         assert await answer == 500
 
-    running.play(script)
+    running.run_script(script)
     assert fault.calls > fault.times and running.counters["loop_restarts"] >= 1
 
 
-def test_client_connection_that_cannot_be_looked_at_keeps_no_other_from_it(
+def test_client_connection_whose_check_raises_does_not_prevent_the_check_of_others(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    running = Running(tmp_path)
-    seen: dict[int, int] = {}
-    look = ClientConnection.check_timeouts
+    running = RunningSidecar(tmp_path)
+    checks: dict[int, int] = {}
+    check_timeouts = ClientConnection.check_timeouts
 
     def faulty(session: ClientConnection, now: float) -> None:
-        seen[session.fd] = seen.get(session.fd, 0) + 1
-        if session.fd == min(seen):
+        checks[session.fd] = checks.get(session.fd, 0) + 1
+        if session.fd == min(checks):
             raise UnforeseenError
-        look(session, now)
+        check_timeouts(session, now)
 
     monkeypatch.setattr(ClientConnection, "check_timeouts", faulty)
 
     async def script() -> None:
         address = running.listener.getsockname()
         conns = [socket.create_connection(address, timeout=WAIT) for _ in range(3)]
-        await until(lambda: len(seen) >= 3 and min(seen.values()) >= 3)
+        await until(lambda: len(checks) >= 3 and min(checks.values()) >= 3)
         for conn in conns:
             conn.close()
 
-    running.play(script)
+    running.run_script(script)
 
 
 @pytest.mark.parametrize(
-    ("owner", "method", "status"),
+    ("owner", "method", "code"),
     [(UpstreamClient, "send_attempt", 500), (ClientConnection, "send_final_response", 0)],
 )
-def test_order_that_raises_costs_its_request_alone(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, status: int
+def test_effect_that_raises_fails_only_its_own_request(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str, code: int
 ) -> None:
-    """An attempt that cannot be begun counts as broken; a client that cannot be answered sees its connection
-    closed, and doesn't wait for ever."""
-    running = Running(tmp_path)
+    """An attempt that cannot be started counts as broken. The connection of a client that cannot be answered
+    is closed, so that the client does not wait for ever."""
+    running = RunningSidecar(tmp_path)
     Fault(monkeypatch, owner, method, 1)
 
     def ask() -> int:
@@ -232,10 +234,10 @@
             return 0
 
     async def script() -> None:
-        assert await asyncio.to_thread(ask) == status
-        await running.serves()
+        assert await asyncio.to_thread(ask) == code
+        await running.check_serves()
 
-    running.play(script)
+    running.run_script(script)
     assert running.counters["task_faults"] == 1
 
 
@@ -243,11 +245,11 @@
     ("owner", "method"),
     [(reload, "reload_config"), (RequestCoordinator, "apply_settings"), (UpstreamClient, "apply_timeouts")],
 )
-def test_reload_that_raises_changes_nothing_and_the_next_one_is_taken(
+def test_reload_that_raises_changes_nothing_and_the_next_one_is_applied(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
 ) -> None:
-    """Whole or nothing: where the fault comes half-way, what has changed already changes back."""
-    running = Running(tmp_path)
+    """A reload is all or nothing: after a fault half-way, the changes already applied are rolled back."""
+    running = RunningSidecar(tmp_path)
     old = running.sidecar.settings
     used: list[object] = []
     reconfigure = RequestCoordinator.apply_settings
@@ -265,32 +267,32 @@
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: running.counters["task_faults"] == 1)
         assert running.sidecar.settings is old and used[-1:] in ([], [old])
-        await running.serves()
+        await running.check_serves()
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: running.counters["reloads"] == 1)
         assert {cls.deadline for cls in running.sidecar.settings.classes} == {2.0}
 
-    running.play(script)
+    running.run_script(script)
 
 
 @pytest.mark.parametrize(("owner", "method"), [(Counters, "dump"), (DescriptorLeakDetector, "look")])
-def test_counters_that_cannot_be_printed_cost_nothing_else(
+def test_counters_that_cannot_be_printed_affect_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
 ) -> None:
-    running = Running(tmp_path)
+    running = RunningSidecar(tmp_path)
     fault = Fault(monkeypatch, owner, method, 0)
 
     async def script() -> None:
         fault.times = fault.calls + 1
         os.kill(os.getpid(), signal.SIGUSR1)
         await until(lambda: running.counters["task_faults"] >= 1)
-        await running.serves()
+        await running.check_serves()
 
-    running.play(script)
+    running.run_script(script)
 
 
-def test_restarts_pause_longer_each_time_up_to_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    """And they end with a return, or with the process."""
+def test_restart_pauses_grow_up_to_a_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """They stop when the loop returns, or with the process."""
     pauses: list[float] = []
 
     async def pause(seconds: float) -> None:
@@ -298,19 +300,19 @@
 
     monkeypatch.setattr(supervision, "_RESTART_PAUSE_S", 0.05)
     monkeypatch.setattr(asyncio, "sleep", pause)
-    counters, left = Counters("t"), [UnforeseenError()] * 8
+    counters, errors = Counters("t"), [UnforeseenError()] * 8
 
     async def loop() -> None:
-        if left:
-            raise left.pop()
+        if errors:
+            raise errors.pop()
 
-    async def play() -> None:
+    async def run_loop() -> None:
         supervisor = Supervisor(counters)
         async with asyncio.TaskGroup() as tasks:
             supervisor.attach(tasks)
             supervisor.keep_running("loop", loop)
         supervisor.cancel_all()
-        supervisor.spawn("late", loop)  # the group is over: nothing starts
+        supervisor.spawn("late", loop)  # the task group has ended: nothing is started
 
-    asyncio.run(play())
+    asyncio.run(run_loop())
     assert pauses == [0.05, 0.1, 0.2, 0.4, 0.8, 1.0, 1.0, 1.0] and counters["loop_restarts"] == 8
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -1,4 +1,4 @@
-"""Upgrades with real processes: a second one beside the first, on one listener that the platform holds."""
+"""Hot restarts with real processes: a new one starts beside the old one, on the platform's listener."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @contextlib.contextmanager
 def _platform(tmp: Path, *scripts: Any) -> Iterator[tuple[socket.socket, list[Peer], Any]]:
-    """A listening socket that the platform holds, upstreams, and a call that starts a further process."""
+    """Yield a listener that the platform owns, upstreams, and a function that starts a process on it."""
     upstreams = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
     discovery, programs = DiscoveryClient(), list[Program]()
     known = parse_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
@@ -73,7 +73,7 @@
         wrong: list[Any] = []
         served: list[int] = []
 
-        def client(keep: bool) -> None:
+        def client(keep_alive: bool) -> None:
             conn, file = None, None
             while not stop.is_set():
                 try:
@@ -83,14 +83,14 @@
                     number = next(numbers)
                     conn.sendall(request("pay", b"%d" % number))
                     code, answer = read_answer(file)
-                    # A machine that is behind may refuse: that one must not have run.
+                    # A sidecar on an overloaded machine may reject a request, which then must not have run.
                     refused = code == 503 and "retry-after" in answer.headers
                     if not refused and (code, answer.body) != (200, b"%d" % number):
                         wrong.append((number, code, answer))
                     elif not refused:
                         served.append(number)
                     time.sleep(0.002)
-                    if not keep or answer.headers.get("connection") == "close":
+                    if not keep_alive or answer.headers.get("connection") == "close":
                         conn.close()
                         conn = None
                 except Exception as error:
@@ -99,7 +99,7 @@
             if conn is not None:
                 conn.close()
 
-        workers = [threading.Thread(target=client, args=(keep,)) for keep in (True, False, True)]
+        workers = [threading.Thread(target=client, args=(keep_alive,)) for keep_alive in (True, False, True)]
         old = start()
         for worker in workers:
             worker.start()
@@ -115,10 +115,10 @@
         for worker in workers:
             worker.join()
         assert wrong[:3] == [] and len(served) > 100
-        assert sorted(seen) == sorted(served)  # each ran exactly once
+        assert sorted(seen) == sorted(served)  # each request ran exactly once
 
 
-def test_cordon_holds_over_an_upgrade_and_is_merged_both_ways(tmp_path: Path) -> None:
+def test_cordon_survives_an_upgrade_and_is_shared_in_both_directions(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo, echo) as (_, upstreams, start):
         old = start()
         assert old.call("PUT", "cordon", "s-0") == 200
@@ -129,22 +129,22 @@
         assert old.call("PUT", "uncordon", "s-0") == 200
         until(lambda: new.counters()["cordoned"] == 1)
         old.process.send_signal(signal.SIGTERM)
-        had = len(upstreams[1].got)
+        count = len(upstreams[1].got)
         for _ in range(20):
             assert new.ask(request())[0] == 200
-        assert len(upstreams[1].got) == had and old.process.wait(WAIT) == 0
+        assert len(upstreams[1].got) == count and old.process.wait(WAIT) == 0
 
 
-def test_cordon_holds_under_load_through_an_upgrade(tmp_path: Path) -> None:
+def test_cordon_holds_under_load_during_upgrades(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo, echo) as (listener, upstreams, start):
         address, stop, pause = listener.getsockname(), threading.Event(), threading.Event()
-        resting, wrong = threading.Barrier(4), list[Any]()
+        barrier, wrong = threading.Barrier(4), list[Any]()
 
         def client() -> None:
             while not stop.is_set():
-                if pause.is_set():  # all stand still, then all go on
-                    resting.wait(WAIT)
-                    resting.wait(WAIT)
+                if pause.is_set():  # all clients pause, then all resume
+                    barrier.wait(WAIT)
+                    barrier.wait(WAIT)
                 with socket.create_connection(address, timeout=WAIT) as conn:
                     conn.sendall(request())
                     code, answer = read_answer(conn.makefile("rb"))
@@ -158,29 +158,29 @@
         until(lambda: len(upstreams[0].got) > 5)
         assert old.call("PUT", "cordon", "s-0") == 200
         pause.set()
-        resting.wait(WAIT)  # nothing is open: what went out before the yes has ended
-        had = len(upstreams[0].got)
+        barrier.wait(WAIT)  # no request is open: those sent before the cordon was confirmed have ended
+        count = len(upstreams[0].got)
         pause.clear()
-        resting.wait(WAIT)
+        barrier.wait(WAIT)
         for _ in range(3):
             new = start()
             old.process.send_signal(signal.SIGTERM)
             assert old.process.wait(WAIT) == 0
             old = new
-        assert len(upstreams[0].got) == had
+        assert len(upstreams[0].got) == count
         assert old.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: len(upstreams[0].got) > had)
+        until(lambda: len(upstreams[0].got) > count)
         stop.set()
         for worker in workers:
             worker.join()
         assert wrong == []
 
 
-def test_process_killed_before_its_yes_leaves_the_old_one_as_it_was(tmp_path: Path) -> None:
+def test_process_killed_before_it_is_ready_leaves_the_old_one_unaffected(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo) as (listener, upstreams, start):
         old = start()
         assert old.call("PUT", "cordon", "s-0") == 200
-        had = len(upstreams[0].got)
+        count = len(upstreams[0].got)
         for wait in (0.0, 0.05, 0.1, 0.2):
             new = start_process(old.config, subprocess.DEVNULL, listener, **operators(tmp_path))
             time.sleep(wait)
@@ -188,10 +188,10 @@
             new.wait()
             for _ in range(3):
                 assert old.ask(request())[0] == 200
-        assert len(upstreams[0].got) == had and old.counters()["cordoned"] == 1
+        assert len(upstreams[0].got) == count and old.counters()["cordoned"] == 1
 
 
-def test_request_half_written_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
+def test_request_partly_sent_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
     with _platform(tmp_path, echo) as (_, _nodes, start):
         old = start()
         with old.connect() as conn, old.connect() as other:
@@ -203,15 +203,17 @@
             until(lambda: "stopping" in old.log.read_text())
             assert new.ask(request())[0] == 200
             conn.sendall(raw[-6:])
-            other.sendall(request())  # on a connection that stood idle as the signal came
+            other.sendall(request())  # on a connection that was idle when the signal came
             for each in (conn, other):
                 code, answer = read_answer(each.makefile("rb"))
                 assert (code, answer.headers["connection"]) == (200, "close")
         assert old.process.wait(WAIT) == 0
 
 
-@pytest.mark.parametrize("reads_on", [True, False])
-def test_old_process_within_32_mb_brings_them_to_their_end_or_shows(tmp_path: Path, reads_on: bool) -> None:
+@pytest.mark.parametrize("keeps_reading", [True, False])
+def test_old_process_completes_a_32_mb_response_or_cuts_it_off_visibly(
+    tmp_path: Path, keeps_reading: bool
+) -> None:
     with _platform(tmp_path, Raw(long_answer)) as (_, _nodes, start):
         old = start()
         with old.connect() as conn:
@@ -225,12 +227,12 @@
             old.process.send_signal(signal.SIGTERM)
             until(lambda: "stopping" in old.log.read_text())
             assert new.call("GET", "health") == 200
-            if reads_on:
+            if keeps_reading:
                 for _ in range(SIZE // len(BLOCK) - 1):
                     assert file.read(len(BLOCK)) == BLOCK
                 assert rss(old) - before < 4096  # kB
-            assert old.process.wait(WAIT) == 0  # by itself, whatever the reader does
-            if not reads_on:
+            assert old.process.wait(WAIT) == 0  # without SIGKILL, whether or not the client reads
+            if not keeps_reading:
                 with contextlib.suppress(ConnectionError):
                     assert len(file.read()) < SIZE - len(BLOCK)
             last = old.last_counters()
@@ -239,7 +241,7 @@
             )
 
 
-def test_cordons_called_at_the_old_process_while_the_new_one_starts(tmp_path: Path) -> None:
+def test_cordons_set_at_the_old_process_reach_the_new_one_while_it_starts(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo) as (_, upstreams, start):
         old = start()
         for call, wait in zip(("cordon", "uncordon") * 2, (0.0, 0.1, 0.2, 0.3), strict=True):
@@ -251,36 +253,36 @@
             starting.join()
             new = found[0]
             until(lambda one=new, out=call == "cordon": one.counters()["cordoned"] == out)  # type: ignore[misc]
-            had = len(upstreams[0].got)
+            count = len(upstreams[0].got)
             old.process.send_signal(signal.SIGTERM)
             assert {new.ask(request())[0] for _ in range(10)} == {200}
             if call == "cordon":
-                assert len(upstreams[0].got) == had
+                assert len(upstreams[0].got) == count
             else:
-                until(lambda one=new, n=had: one.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
+                until(lambda one=new, n=count: one.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
             assert old.process.wait(WAIT) == 0
             old = new
 
 
-@pytest.mark.parametrize("left", [b"", b"torn", b"fifo"])
-def test_spoilt_handover_costs_a_cold_start_and_a_line(tmp_path: Path, left: bytes) -> None:
+@pytest.mark.parametrize("content", [b"", b"torn", b"fifo"])
+def test_corrupt_state_file_causes_a_cold_start_and_one_log_line(tmp_path: Path, content: bytes) -> None:
     with _platform(tmp_path, echo) as (_, _nodes, start):
         file = tmp_path / "indigokeel-n0.handover.1-1"
-        if left == b"fifo":
+        if content == b"fifo":
             os.mkfifo(file)
         else:
-            file.write_bytes(left)
+            file.write_bytes(content)
         program = start()
         assert program.ask(request())[0] == 200
         assert program.log.read_text().count("state of the previous process ignored") == 1
         assert program.call("PUT", "cordon", "s-0") == 200 and program.counters()["cordoned"] == 1
 
 
-@pytest.mark.parametrize("handed", [True, False])
-def test_descriptor_that_is_no_listener_is_reported(tmp_path: Path, handed: bool) -> None:
+@pytest.mark.parametrize("is_open", [True, False])
+def test_descriptor_that_is_not_a_listening_socket_is_reported(tmp_path: Path, is_open: bool) -> None:
     near, far = socket.socketpair()
     with near, far, running(tmp_path, echo) as (good, _, _d):
-        if handed:
+        if is_open:
             process = start_process(good.config, subprocess.PIPE, near)
         else:
             process = start_process(good.config, subprocess.PIPE, BALANCER_LISTEN_FD="7")
