--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,4 +1,5 @@
-"""A seeded soak: processes of the program in turn, under faults and series of signals, and their judge.
+"""A seeded soak test: real processes under faults, signals and replacement, checked against fixed rules.
 
-``python -m tests.soak --seeds 1-50 --seconds 20`` prints a line for each seed. One seed gives one schedule.
+``python -m tests.soak --seeds 1-50 --seconds 20`` prints a summary line for each seed. The same seed
+gives the same schedule.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds and prints a line for each."""
+"""Runs the soak for each of the given seeds and prints a summary line for each."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from pathlib import Path
 
 from tests.soak.history import History
-from tests.soak.judge import Breach, judge
+from tests.soak.judge import Violation, find_violations
 from tests.soak.run import Run
 from tests.soak.schedule import plan
 
 
-def play(seed: int, seconds: float, folder: Path) -> tuple[History, list[Breach]]:
-    """Play one seed, and judge what was seen."""
-    history = asyncio.run(Run(plan(seed, seconds), folder).play())
-    return history, judge(history)
+def run_seed(seed: int, seconds: float, folder: Path) -> tuple[History, list[Violation]]:
+    """Run one seed and check its history against the rules."""
+    history = asyncio.run(Run(plan(seed, seconds), folder).run())
+    return history, find_violations(history)
 
 
-def describe(seed: int, seconds: float, history: History, breaches: list[Breach]) -> str:
-    """Return the line of a seed, with the shortest piece that shows each broken rule."""
-    answers = Counter(answer.code for each in history.requests.values() for answer in each.answers)
+def describe(seed: int, seconds: float, history: History, violations: list[Violation]) -> str:
+    """Return the summary line of a seed, and for each broken rule the shortest evidence."""
+    answers = Counter(answer.code for request in history.requests.values() for answer in request.answers)
     stalled_s = sum(to - since for since, to in history.stalls)
     line = (
         f"seed {seed}: {len(history.requests)} requests, answers {dict(sorted(answers.items()))}, "
-        f"{len(history.ends)} shutdowns, {len(history.crashes)} kills, {len(history.notices)} drains, "
-        f"harness stalled {stalled_s:.2f} s, {len(breaches)} breaches"
+        f"{len(history.ends)} shutdowns, {len(history.crashes)} kills, {len(history.removals)} drains and "
+        f"cordons, harness stalled {stalled_s:.2f} s, {len(violations)} violations"
         f" (python -m tests.soak --seeds {seed} --seconds {seconds:g})"
     )
-    rules = Counter(breach.rule for breach in breaches)
+    rules = Counter(violation.rule for violation in violations)
     for rule, count in rules.items():
-        piece = min((b.piece for b in breaches if b.rule == rule), key=len)
-        line += f"\n  {rule} x{count}: {piece[:1500]}"
+        evidence = min((violation.evidence for violation in violations if violation.rule == rule), key=len)
+        line += f"\n  {rule} x{count}: {evidence[:1500]}"
     return line
 
 
@@ -45,7 +45,7 @@
 
 
 def main() -> int:
-    """Play the seeds of the command line; return 1 if a rule was broken."""
+    """Run the seeds of the command line; return 1 if any rule was broken."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
     parser.add_argument("--seeds", type=parse_seeds, default=range(1, 4), help="a seed, or FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=20.0, help="length of a run")
@@ -56,9 +56,9 @@
         with tempfile.TemporaryDirectory() as temporary:
             folder = arguments.keep / str(seed) if arguments.keep else Path(temporary)
             folder.mkdir(parents=True, exist_ok=True)
-            history, breaches = play(seed, arguments.seconds, folder)
-        print(describe(seed, arguments.seconds, history, breaches), flush=True)
-        broken += bool(breaches)
+            history, violations = run_seed(seed, arguments.seconds, folder)
+        print(describe(seed, arguments.seconds, history, violations), flush=True)
+        broken += bool(violations)
     return 1 if broken else 0
 
 
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -1,4 +1,4 @@
-"""What happened in one run, as the peers of the program saw it. All times are monotonic seconds."""
+"""The record of one run, as seen by the clients, upstreams and harness. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass
 class Answer:
-    """A final answer, as far as it was read."""
+    """A final answer, or the part of it that was read before the connection ended."""
 
     at: float
     code: int
-    is_whole: bool = True
+    is_complete: bool = True
     body: bytes = field(default=b"", repr=False)
 
 
@@ -24,49 +24,49 @@
     class_name: str
     body: bytes = field(repr=False)
     sent_at: float
-    limit_s: float
+    timeout_s: float
     answers: list[Answer] = field(default_factory=list)
-    due_behind: float = -math.inf  # when those ahead of it in the pipeline were due, which come first
-    closed_at: float = math.inf  # its connection ended without an answer
-    waited_in_vain: bool = False  # far longer than its limit, on an open connection
-    behind_close: bool = False  # the answer before it in the pipeline said that the connection closes
-    left_at: float = math.inf  # its client closed the connection before the answer
+    pipeline_due_at: float = -math.inf  # when the answers ahead of it in the pipeline were due
+    closed_at: float = math.inf  # when its connection ended without an answer
+    client_timed_out: bool = False  # no answer long after its timeout, connection still open
+    after_connection_close: bool = False  # the previous answer carried "Connection: close"
+    client_disconnected_at: float = math.inf  # when its client left without the answer
 
 
 @dataclass
 class Arrival:
-    """An attempt whose last byte an upstream has received."""
+    """An attempt that an upstream has received completely."""
 
     request_id: str
     upstream: str
     group: int
-    begun_at: float  # its first byte
-    ran: bool = True  # False where the upstream states that it did not start
+    begun_at: float  # when its first byte was received
+    executed: bool = True  # False if the upstream answers that it did not start the request
 
 
 @dataclass
-class Notice:
-    """An upstream that was taken out of service, as every process of that time was notified."""
+class Removal:
+    """A span in which an upstream is out of service and every live process has been told so."""
 
     upstream: str
     at: float
-    until: float = math.inf  # back in service
+    until: float = math.inf  # when it is back in service
 
 
 @dataclass
 class ProcessEnd:
-    """The life of one process after SIGTERM."""
+    """The shutdown of one process, from SIGTERM on."""
 
     name: str
     term_at: float
     ended_at: float
     exit_code: int
-    kill_due_at: float  # the earliest SIGKILL
+    kill_due_at: float  # when a supervisor would send SIGKILL at the earliest
 
 
 @dataclass
 class ProcessStart:
-    """The start of one process that was not ended meanwhile."""
+    """The start of one process that nothing interrupted."""
 
     name: str
     started_at: float
@@ -74,8 +74,8 @@
 
 
 @dataclass
-class Quiet:
-    """What a process used while nothing was sent, and held afterwards."""
+class IdleUsage:
+    """What a process used while no requests were sent, and what it still held afterwards."""
 
     name: str
     seconds: float
@@ -88,15 +88,21 @@
 
 @dataclass
 class History:
-    """All that was seen in one run."""
+    """Everything recorded in one run."""
 
     requests: dict[str, ClientRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
-    notices: list[Notice] = field(default_factory=list)
+    removals: list[Removal] = field(default_factory=list)
     ends: list[ProcessEnd] = field(default_factory=list)
     starts: list[ProcessStart] = field(default_factory=list)
-    quiet: list[Quiet] = field(default_factory=list)
-    crashes: list[float] = field(default_factory=list)  # a process was killed without a word
-    outages: list[tuple[float, float]] = field(default_factory=list)  # no process read what came
-    crowds: list[tuple[float, float]] = field(default_factory=list)  # idle clients held the descriptors
-    stalls: list[tuple[float, float]] = field(default_factory=list)  # this harness stood still, from and to
+    idle_usage: list[IdleUsage] = field(default_factory=list)
+    crashes: list[float] = field(default_factory=list)  # when a process got SIGKILL
+    outages: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # spans without a process to read requests
+    connection_floods: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # idle clients used up descriptors
+    stalls: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # spans in which the harness itself stalled
--- a/tests/soak/peers.py
+++ b/tests/soak/peers.py
@@ -1,4 +1,4 @@
-"""The peers of a run, in one event loop: upstreams, discovery, clients. Each notes what it sees."""
+"""The upstreams, discovery and clients of a run, in one event loop. Each records what it sees."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 MIN_ANSWER_S, MAX_ANSWER_S = 0.0, 0.02
 BLANK_LINE_INTERVAL_S = 1.0
-CLIENT_WAIT_S = 12.0  # for an answer, far over every limit
+CLIENT_WAIT_S = 12.0  # how long a client waits for an answer: far longer than every request timeout
 CONNECT_RETRY_S = 0.02
 MAX_BODY_BYTES = 3000
 
 
-async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes, float]:
-    """Read one message with a Content-Length; return its first line, headers, body and first byte's time."""
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes, float]:
+    """Read one message framed by Content-Length; return its first line, headers, body and begin time."""
     first = await reader.readexactly(1)
     begun_at = time.monotonic()
     head = (first + await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -37,7 +37,7 @@
 
 
 class Upstream:
-    """An upstream that echoes each body, or has a fault."""
+    """An upstream that echoes each body, unless a fault is set."""
 
     def __init__(self, name: str, group: int, history: History, random: Random) -> None:
         self.name, self.group = name, group
@@ -62,7 +62,7 @@
 
     async def _exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one request; return whether the connection stays open."""
-        _, headers, body, begun_at = await read_head(reader)
+        _, headers, body, begun_at = await read_message(reader)
         fault = self.fault
         arrival = Arrival(
             headers["request-id"], self.name, self.group, begun_at, fault is not UpstreamFault.BUSY
@@ -88,7 +88,7 @@
 
 
 class Discovery:
-    """Discovery: the whole list to each new watch, then each change."""
+    """Discovery that sends each new watch the whole endpoint list, then every change."""
 
     def __init__(self, upstreams: list[Upstream]) -> None:
         self.port = 0
@@ -105,23 +105,23 @@
     def whole_list(self) -> dict[str, Any]:
         return parse_endpoint_list(*(each.entry() for each in self._upstreams), index=self._index)
 
-    def watches(self) -> int:
+    def watch_count(self) -> int:
         return len(self._watches)
 
     def begin_fault(self, fault: DiscoveryFault) -> None:
         self.fault = fault
-        if fault is DiscoveryFault.AWAY:
+        if fault is DiscoveryFault.DOWN:
             for watch in list(self._watches):
                 watch.transport.abort()
 
     def end_fault(self) -> None:
         self.fault = None
         self.fault_ended_at = time.monotonic()
-        for watch in list(self._watches):  # those that were silent have missed changes
+        for watch in list(self._watches):  # the fault has kept changes from these watches
             watch.transport.abort()
 
     def publish(self, upstream: Upstream) -> None:
-        """Send a change to each watch."""
+        """Send a changed endpoint to each watch."""
         self._index += 1
         change = parse_endpoint_list(upstream.entry(), index=self._index, whole=False)
         if self.fault is None:
@@ -129,7 +129,7 @@
                 _write_line(watch, change)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.fault is DiscoveryFault.AWAY:
+        if self.fault is DiscoveryFault.DOWN:
             writer.transport.abort()
             return
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -151,13 +151,13 @@
 
 
 class Client:
-    """One client application: it uses an open connection for as long as that stays open."""
+    """One client application, which reuses its connection for as long as that stays open."""
 
     def __init__(self, address: tuple[str, int], history: History, random: Random) -> None:
         self.stopping = False
         self._address, self._history, self._random = address, history, random
         self._numbers = itertools.count(random.randrange(1 << 40))
-        self._said_close = False  # by the last answer
+        self._closes_after_answer = False  # the last answer carried "Connection: close"
         self._connection: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def run(self) -> None:
@@ -167,7 +167,7 @@
                 continue
             await self._use_connection()
             await asyncio.sleep(self._random.choice((0.0, 0.005, 0.05)))
-        self._drop()
+        self._disconnect()
 
     async def _connect(self) -> None:
         try:
@@ -175,40 +175,40 @@
         except OSError:
             await asyncio.sleep(CONNECT_RETRY_S)
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection[1].close()
             self._connection = None
 
     async def _use_connection(self) -> None:
-        """Send one request, a pipeline of several, or leave before the answer."""
-        leaves = self._random.random() < 0.05
+        """Send one or several pipelined requests, then read the answers or disconnect before they come."""
+        disconnects_early = self._random.random() < 0.05
         count = self._random.choice((1, 1, 1, 2, 4))
         sent = [await self._send() for _ in range(count)]
         for ahead, behind in itertools.pairwise(sent):
-            behind.due_behind = max(ahead.due_behind, ahead.sent_at + ahead.limit_s)
-        if leaves:
+            behind.pipeline_due_at = max(ahead.pipeline_due_at, ahead.sent_at + ahead.timeout_s)
+        if disconnects_early:
             await asyncio.sleep(self._random.choice((0.0, 0.002, 0.02)))
-            self._leave(sent)
+            self._abandon(sent)
             return
         for number, each in enumerate(sent):
             if not await self._read_answer(each):
-                self._lose(sent[number:])
+                self._mark_closed(sent[number:])
                 return
         if self._random.random() < 0.1:
-            self._drop()
+            self._disconnect()
 
     async def _send(self) -> ClientRequest:
         random = self._random
         class_name = random.choice(("pay", "view", "order"))
         body = b"%d." % next(self._numbers) + b"x" * random.choice((0, 10, MAX_BODY_BYTES))
-        limit_ms = random.choice((1500, 2500, 5000))
-        raw = request(class_name, body, limit_ms, more=f"Idempotency-Key: {body[:12].decode()}\r\n")
+        timeout_ms = random.choice((1500, 2500, 5000))
+        raw = request(class_name, body, timeout_ms, more=f"Idempotency-Key: {body[:12].decode()}\r\n")
         found = re.search(rb"Request-Id: (\w+)", raw)
         assert found is not None and self._connection is not None
-        sent = ClientRequest(found[1].decode(), class_name, body, 0.0, limit_ms / 1000.0)
+        sent = ClientRequest(found[1].decode(), class_name, body, 0.0, timeout_ms / 1000.0)
         self._history.requests[sent.id] = sent
-        sent.sent_at = time.monotonic()  # it may be read as soon as it is written
+        sent.sent_at = time.monotonic()  # provisional: the program may answer before the last write returns
         writer = self._connection[1]
         if random.random() < 0.1:
             at = random.randrange(1, len(raw))
@@ -220,36 +220,36 @@
         return sent
 
     async def _read_answer(self, sent: ClientRequest) -> bool:
-        """Read one answer; return whether the connection can be used further."""
+        """Read one answer; return whether the connection can be used for another request."""
         assert self._connection is not None
         reader = self._connection[0]
         try:
             async with asyncio.timeout(CLIENT_WAIT_S):
-                line, headers, body, _ = await read_head(reader)
+                line, headers, body, _ = await read_message(reader)
         except TimeoutError:
-            sent.waited_in_vain = True
+            sent.client_timed_out = True
             return False
         except asyncio.IncompleteReadError as error:
             if error.partial:
-                sent.answers.append(Answer(time.monotonic(), 0, is_whole=False))
+                sent.answers.append(Answer(time.monotonic(), 0, is_complete=False))
             sent.closed_at = time.monotonic()
             return False
         except OSError:
             sent.closed_at = time.monotonic()
             return False
         sent.answers.append(Answer(time.monotonic(), int(line.split(" ")[1]), True, body))
-        self._said_close = headers.get("connection") == "close"
-        return not self._said_close
+        self._closes_after_answer = headers.get("connection") == "close"
+        return not self._closes_after_answer
 
-    def _lose(self, requests: list[ClientRequest]) -> None:
-        """Note that the connection has ended under these requests; those answered keep their answer."""
+    def _mark_closed(self, requests: list[ClientRequest]) -> None:
+        """Record that the connection ended under those of these requests that have no answer."""
         for each in requests:
             if not each.answers:
                 each.closed_at = min(each.closed_at, time.monotonic())
-                each.behind_close = self._said_close
-        self._drop()
+                each.after_connection_close = self._closes_after_answer
+        self._disconnect()
 
-    def _leave(self, requests: list[ClientRequest]) -> None:
-        self._drop()
+    def _abandon(self, requests: list[ClientRequest]) -> None:
+        self._disconnect()
         for each in requests:
-            each.left_at = time.monotonic()
+            each.client_disconnected_at = time.monotonic()
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of one run, and the calls that operators make to them."""
+"""The processes of one run, and calls to their admin addresses."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from tests.soak.schedule import Schedule
 
 SOCKETS = 256
-KILL_AFTER_TERM_S = 2.5 + 0.7  # the longest deadline of the settings, and what the pages add
-SAFETY = {**SETTINGS["safety"], "warm-within-s": 2.0}  # upstreams come back often
-KEEPALIVE_S = 3.0  # idle connections to upstreams are closed after half of it, before the quiet is judged
+KILL_AFTER_TERM_S = 2.5 + 0.7  # the longest deadline of the settings, plus the documented margin
+SAFETY = {**SETTINGS["safety"], "warm-within-s": 2.0}  # short, because upstreams come back into service often
+KEEPALIVE_S = 3.0  # idle upstream connections close after half of it, before idle use is measured
 POLL_S = 0.02
 
 
@@ -33,21 +33,21 @@
 
     name: str
     popen: subprocess.Popen[bytes]
-    mgmt: int
+    admin_port: int
     log: Path
     start: ProcessStart
     descriptors: int = 0
     resident_kb: int = 0
-    is_ending: bool = False  # it was sent SIGTERM
+    is_ending: bool = False  # set once it was sent SIGTERM
 
     def is_running(self) -> bool:
         """Return whether the process has not ended."""
         return self.popen.poll() is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
         with contextlib.suppress(ProcessLookupError):
-            self.popen.send_signal(number)
+            self.popen.send_signal(signal_number)
 
     def cpu_s(self) -> float:
         """Return the processor time that the process has used."""
@@ -60,7 +60,7 @@
 
 
 class ProcessGroup:
-    """The processes that take turns at one address."""
+    """The processes that listen on one address, one after another or together."""
 
     def __init__(
         self,
@@ -68,16 +68,16 @@
         folder: Path,
         history: History,
         discovery_port: int,
-        known: Callable[[], Any],
+        known_list: Callable[[], Any],
     ) -> None:
-        """``known`` returns the endpoint list that a process is started with."""
-        self.replacing = asyncio.Lock()  # held while a process is started or ended
+        """``known_list`` returns the endpoint list in the configuration of each process that starts."""
+        self.replacing = asyncio.Lock()  # held while processes are started or ended
         self._schedule = schedule
         self._folder = folder
         self._history = history
         self._discovery_port = discovery_port
-        self._known = known
-        self._processes: list[Process] = []  # in the order of their start
+        self._known_list = known_list
+        self._processes: list[Process] = []  # in start order
         self._listener: socket.socket | None = None
         if schedule.shares_listener:
             self._listener = socket.create_server((CLIENTS, 0), backlog=512)
@@ -86,7 +86,7 @@
             self.address = (CLIENTS, free_port(CLIENTS))
 
     def kill_all(self) -> None:
-        """End what is left."""
+        """Kill all processes that still run, and close the shared listener."""
         for process in self._processes:
             process.popen.kill()
             process.popen.wait()
@@ -100,16 +100,16 @@
     def start(self) -> Process:
         """Start a process."""
         name = f"p{len(self._processes)}"
-        mgmt = free_port(OPERATORS)
+        admin_port = free_port(OPERATORS)
         config = self._folder / f"{name}.json"
         config.write_text(json.dumps(self._config()))
         faults = self._schedule.process_faults[len(self._processes) % len(self._schedule.process_faults)]
-        env = {"BALANCER_MGMT": f"{OPERATORS}:{mgmt}", "TMPDIR": str(self._folder), **faults}
+        env = {"BALANCER_MGMT": f"{OPERATORS}:{admin_port}", "TMPDIR": str(self._folder), **faults}
         log = self._folder / f"{name}.log"
         start = ProcessStart(name, time.monotonic())
         with log.open("wb") as file:
             popen = faulty_program.start(config, file, self._listener, **env)
-        process = Process(name, popen, mgmt, log, start)
+        process = Process(name, popen, admin_port, log, start)
         self._history.starts.append(start)
         self._processes.append(process)
         return process
@@ -121,12 +121,12 @@
             "keepalive-s": KEEPALIVE_S,
         }
         settings = {**SETTINGS, "limits": limits, "safety": SAFETY}
-        return configuration(self.address, self._discovery_port, SOCKETS, self._known(), settings)
+        return configuration(self.address, self._discovery_port, SOCKETS, self._known_list(), settings)
 
     async def start_ready(self) -> Process:
-        """Start a process and wait until it serves."""
+        """Start a process and wait until it serves or has ended."""
         process = self.start()
-        while process.is_running() and await self.admin(process, "GET", "health") != 200:
+        while process.is_running() and await self.call_admin(process, "GET", "health") != 200:
             await asyncio.sleep(POLL_S)
         if process.is_running():
             process.start.ready_at = time.monotonic()
@@ -135,27 +135,27 @@
         return process
 
     async def terminate(self, process: Process, pauses_s: tuple[float, ...]) -> None:
-        """Send SIGTERM once and again, with other signals between, and wait for the end or the kill."""
+        """Send SIGTERM, then further signals, and wait until the process ends or has to be killed."""
         term_at = time.monotonic()
         process.is_ending = True
         process.send(signal.SIGTERM)
-        for number, pause_s in enumerate(pauses_s):
+        for index, pause_s in enumerate(pauses_s):
             await asyncio.sleep(pause_s)
-            process.send((signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)[number % 3])
-        kill_at = term_at + KILL_AFTER_TERM_S
-        while process.is_running() and time.monotonic() < kill_at:
+            process.send((signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)[index % 3])
+        kill_due_at = term_at + KILL_AFTER_TERM_S
+        while process.is_running() and time.monotonic() < kill_due_at:
             await asyncio.sleep(POLL_S / 4.0)
         ended_at = time.monotonic()
         if process.is_running():
             process.popen.kill()
             ended_at = time.monotonic() + KILL_AFTER_TERM_S
         code = process.popen.wait()
-        self._history.ends.append(ProcessEnd(process.name, term_at, ended_at, code, kill_at))
+        self._history.ends.append(ProcessEnd(process.name, term_at, ended_at, code, kill_due_at))
 
-    async def admin(self, process: Process, method: str, what: str, who: str = "") -> int:
-        """Make an operator's call; return its status, or 0 without an answer."""
+    async def call_admin(self, process: Process, method: str, what: str, who: str = "") -> int:
+        """Call the admin address; return the status of the answer, or 0 if there is none."""
         try:
-            reader, writer = await asyncio.open_connection(OPERATORS, process.mgmt)
+            reader, writer = await asyncio.open_connection(OPERATORS, process.admin_port)
             writer.write(admin_call(method, what, who))
             line = await reader.readline()
             writer.close()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: carries out a schedule on the processes of the program and their peers."""
+"""One run of the soak: applies a schedule to the processes of the program and to their peers."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from random import Random
 
 from tests.peers import rss_kb
-from tests.soak.history import History, Notice, Quiet
+from tests.soak.history import History, IdleUsage, Removal
 from tests.soak.peers import Client, Discovery, Upstream
 from tests.soak.processes import KILL_AFTER_TERM_S, POLL_S, ProcessGroup
-from tests.soak.schedule import UPSTREAMS, Act, Schedule, Step
+from tests.soak.schedule import UPSTREAMS, Operation, Schedule, Step
 
-CROWD = 260
-CROWD_S = 1.0
-NOTIFIED_S = 6.0  # after a change that discovery could not send at once
-CORDON_SPREAD_S = 0.3  # until the processes of one sidecar have merged a cordon
-QUIET_S = 2.0
-WATCH_STALL_S = 0.01
-RECORDED_STALL_S = 0.03
+FLOOD_CONNECTIONS = 260
+FLOOD_LENGTH_S = 1.0
+NOTIFICATION_DELAY_S = 6.0  # how late a change may reach processes that discovery cannot notify at once
+CORDON_SPREAD_S = 0.3  # how long the processes of one sidecar take to merge a cordon
+IDLE_S = 2.0
+STALL_POLL_S = 0.01
+MIN_STALL_S = 0.03
 LAST_ANSWERS_S = 6.0
 
 
-class StallWatch(threading.Thread):
-    """Notes when this interpreter stands still: starting a process holds up all of its threads."""
+class StallMonitor(threading.Thread):
+    """Records stalls of this interpreter: starting a process holds up all of its threads."""
 
     def __init__(self, history: History) -> None:
         super().__init__(daemon=True)
@@ -38,15 +38,15 @@
     def run(self) -> None:
         last = time.monotonic()
         while not self.stopping:
-            time.sleep(WATCH_STALL_S)
+            time.sleep(STALL_POLL_S)
             now = time.monotonic()
-            if now - last > RECORDED_STALL_S:
+            if now - last > MIN_STALL_S:
                 self._history.stalls.append((last, now))
             last = now
 
 
 class Run:
-    """The state of one run."""
+    """One run: its processes, peers and history."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
         self.history = History()
@@ -58,13 +58,13 @@
         ]
         self._discovery = Discovery(self._upstreams)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._out: set[int] = set()  # upstreams that drain, are cordoned or have a fault
-        self._processes: ProcessGroup  # once the peers listen
+        self._reserved: set[int] = set()  # upstreams that are draining, cordoned or faulty
+        self._processes: ProcessGroup  # set once the peers listen
 
-    async def play(self) -> History:
-        """Carry out the schedule, and return what was seen."""
-        watch = StallWatch(self.history)
-        watch.start()
+    async def run(self) -> History:
+        """Carry out the schedule and return the history."""
+        stall_monitor = StallMonitor(self.history)
+        stall_monitor.start()
         for upstream in self._upstreams:
             await upstream.listen()
         await self._discovery.listen()
@@ -72,49 +72,49 @@
             self._schedule, self._folder, self.history, self._discovery.port, self._discovery.whole_list
         )
         try:
-            await self._play()
+            await self._run_schedule()
         finally:
             self._processes.kill_all()
-        watch.stopping = True
-        # What the peers still wait for is cancelled with the loop, which would be reported for each.
+        stall_monitor.stopping = True
+        # Tasks of the peers that still wait are cancelled with the loop; asyncio would report each of them.
         asyncio.get_running_loop().set_exception_handler(lambda _loop, _context: None)
         return self.history
 
-    async def _play(self) -> None:
+    async def _run_schedule(self) -> None:
         await self._processes.start_ready()
         clients = [
             Client(self._processes.address, self.history, Random(self._schedule.seed * 1000 + n))
             for n in range(self._schedule.clients)
         ]
         running = [asyncio.create_task(client.run()) for client in clients]
-        await self._carry_out()
+        await self._run_steps()
         for client in clients:
             client.stopping = True
         await asyncio.wait(running, timeout=LAST_ANSWERS_S * 3)
         await asyncio.gather(*self._tasks)
-        await self._look_at_quiet()
+        await self._measure_idle_usage()
         for process in self._processes.live():
             await self._processes.terminate(process, ())
 
-    # --- acts -----------------------------------------------------------------------------------------
+    # --- operations -----------------------------------------------------------------------------------
 
-    async def _carry_out(self) -> None:
+    async def _run_steps(self) -> None:
         began = time.monotonic()
-        acts = {
-            Act.REPLACE: self._replace,
-            Act.CRASH: self._crash,
-            Act.TERMINATE_STARTING: self._terminate_starting,
-            Act.KILL_STARTING: self._kill_starting,
-            Act.RELOAD: self._reload,
-            Act.DRAIN: self._drain,
-            Act.CORDON: self._cordon,
-            Act.UPSTREAM_FAULT: self._upstream_fault,
-            Act.DISCOVERY_FAULT: self._discovery_fault,
-            Act.CROWD: self._crowd,
+        operations = {
+            Operation.REPLACE: self._replace,
+            Operation.CRASH: self._crash,
+            Operation.TERMINATE_STARTING: self._terminate_starting,
+            Operation.KILL_STARTING: self._kill_starting,
+            Operation.RELOAD: self._reload,
+            Operation.DRAIN: self._drain,
+            Operation.CORDON: self._cordon,
+            Operation.UPSTREAM_FAULT: self._upstream_fault,
+            Operation.DISCOVERY_FAULT: self._discovery_fault,
+            Operation.CONNECTION_FLOOD: self._flood_with_connections,
         }
         for step in self._schedule.steps:
             await asyncio.sleep(max(began + step.at_s - time.monotonic(), 0.0))
-            task = asyncio.create_task(acts[step.act](step))
+            task = asyncio.create_task(operations[step.operation](step))
             self._tasks.add(task)
         await asyncio.sleep(max(began + self._schedule.seconds - time.monotonic(), 0.0))
 
@@ -146,32 +146,33 @@
             self.history.outages.append((killed_at, time.monotonic()))
 
     async def _terminate_starting(self, step: Step) -> None:
-        await self._disturb_start(step, signal.SIGTERM)
+        await self._interrupt_start(step, signal.SIGTERM)
 
     async def _kill_starting(self, step: Step) -> None:
-        await self._disturb_start(step, signal.SIGKILL)
+        await self._interrupt_start(step, signal.SIGKILL)
 
-    async def _disturb_start(self, step: Step, number: signal.Signals) -> None:
-        """Start a further process beside the running one, and end it while it starts."""
+    async def _interrupt_start(self, step: Step, signal_number: signal.Signals) -> None:
+        """Start a further process beside the running ones and send it a signal during its start."""
         if self._processes.replacing.locked() or not self._schedule.shares_listener:
             return
         async with self._processes.replacing:
             process = self._processes.start()
-            process.start.ready_at = process.start.started_at  # nothing is asked of it
+            process.start.ready_at = process.start.started_at  # it need not become ready
             await asyncio.sleep(step.pauses_s[0])
-            if number is signal.SIGKILL:
+            if signal_number is signal.SIGKILL:
                 self.history.crashes.append(time.monotonic())
                 process.popen.kill()
                 process.popen.wait()
                 self.history.crashes.append(time.monotonic())
                 return
             term_at = time.monotonic()
-            process.send(number)
+            process.send(signal_number)
             while process.is_running() and time.monotonic() < term_at + KILL_AFTER_TERM_S:
                 await asyncio.sleep(POLL_S)
             process.popen.kill()
             process.popen.wait()
-            self.history.crashes.append(time.monotonic())  # it may have been ended before its handlers
+            # SIGTERM may have ended it before it installed its handlers: that counts as a crash.
+            self.history.crashes.append(time.monotonic())
 
     async def _reload(self, step: Step) -> None:
         ready = [process for process in self._processes.live() if process.start.ready_at < math.inf]
@@ -181,68 +182,74 @@
                 await asyncio.sleep(pause_s)
                 process.send(signal.SIGUSR1)
 
-    def _take(self, step: Step) -> Upstream | None:
-        """Reserve an upstream for an act, unless it or half of all are in use for another."""
-        if step.upstream in self._out or len(self._out) >= UPSTREAMS // 2:
+    def _reserve(self, step: Step) -> Upstream | None:
+        """Reserve the step's upstream, unless it or half of all upstreams are reserved already."""
+        if step.upstream in self._reserved or len(self._reserved) >= UPSTREAMS // 2:
             return None
-        self._out.add(step.upstream)
+        self._reserved.add(step.upstream)
         return self._upstreams[step.upstream]
 
     async def _drain(self, step: Step) -> None:
-        upstream = self._take(step)
+        upstream = self._reserve(step)
         if upstream is None:
             return
         upstream.state = "Terminating"
-        notified = self._notifies_at_once()
+        delivers_at_once = self._delivers_changes_at_once()
         self._discovery.publish(upstream)
-        notice = Notice(upstream.name, time.monotonic() + (0.0 if notified else NOTIFIED_S))
-        self.history.notices.append(notice)
-        await asyncio.sleep(step.length_s + (0.0 if notified else NOTIFIED_S))
-        if self._discovery.fault is not None or self._discovery.fault_ended_at > notice.at - NOTIFIED_S:
-            notice.at = max(notice.at, self._discovery.fault_ended_at + NOTIFIED_S)
-        notice.until = time.monotonic()
+        removal = Removal(
+            upstream.name, time.monotonic() + (0.0 if delivers_at_once else NOTIFICATION_DELAY_S)
+        )
+        self.history.removals.append(removal)
+        await asyncio.sleep(step.length_s + (0.0 if delivers_at_once else NOTIFICATION_DELAY_S))
+        if (
+            self._discovery.fault is not None
+            or self._discovery.fault_ended_at > removal.at - NOTIFICATION_DELAY_S
+        ):
+            removal.at = max(removal.at, self._discovery.fault_ended_at + NOTIFICATION_DELAY_S)
+        removal.until = time.monotonic()
         upstream.state, upstream.since_ms = "Ready", int(time.time() * 1000)
         self._discovery.publish(upstream)
-        self._out.discard(step.upstream)
+        self._reserved.discard(step.upstream)
 
-    def _notifies_at_once(self) -> bool:
-        """Return whether each live process has a watch that delivers changes."""
+    def _delivers_changes_at_once(self) -> bool:
+        """Return whether every live process has a watch that delivers changes now."""
         return (
             self._discovery.fault is None
-            and time.monotonic() > self._discovery.fault_ended_at + NOTIFIED_S
+            and time.monotonic() > self._discovery.fault_ended_at + NOTIFICATION_DELAY_S
             and not self._processes.replacing.locked()
-            and self._discovery.watches() >= len(self._processes.live())
+            and self._discovery.watch_count() >= len(self._processes.live())
         )
 
     async def _cordon(self, step: Step) -> None:
-        upstream = self._take(step)
+        upstream = self._reserve(step)
         if upstream is None:
             return
-        async with self._processes.replacing:  # an operator calls at the processes of one moment
+        async with self._processes.replacing:  # no process may start or end between these calls
             codes = [
-                await self._processes.admin(p, "PUT", "cordon", upstream.name) for p in self._processes.live()
+                await self._processes.call_admin(p, "PUT", "cordon", upstream.name)
+                for p in self._processes.live()
             ]
         if codes and all(code == 200 for code in codes):
-            notice = Notice(upstream.name, time.monotonic() + CORDON_SPREAD_S)
-            self.history.notices.append(notice)
+            removal = Removal(upstream.name, time.monotonic() + CORDON_SPREAD_S)
+            self.history.removals.append(removal)
             await asyncio.sleep(step.length_s)
-            notice.until = time.monotonic()
+            removal.until = time.monotonic()
         await self._uncordon(upstream)
-        self._out.discard(step.upstream)
+        self._reserved.discard(step.upstream)
 
     async def _uncordon(self, upstream: Upstream) -> None:
         async with self._processes.replacing:
             for process in self._processes.live():
-                await self._processes.admin(process, "PUT", "uncordon", upstream.name)
+                await self._processes.call_admin(process, "PUT", "uncordon", upstream.name)
 
     async def _upstream_fault(self, step: Step) -> None:
-        upstream = self._take(step)
+        upstream = self._reserve(step)
         if upstream is None:
             return
         upstream.fault = step.upstream_fault
         await asyncio.sleep(step.length_s)
         upstream.fault = None
-        self._out.discard(step.upstream)
+        self._reserved.discard(step.upstream)
 
     async def _discovery_fault(self, step: Step) -> None:
         if self._discovery.fault is not None:
@@ -251,28 +258,28 @@
         await asyncio.sleep(step.length_s)
         self._discovery.end_fault()
 
-    async def _crowd(self, step: Step) -> None:
-        """Fill the descriptors with clients that send nothing."""
+    async def _flood_with_connections(self, step: Step) -> None:
+        """Use up descriptors with client connections that send nothing."""
         began = time.monotonic()
-        crowd = []
-        for _ in range(CROWD):
+        connections = []
+        for _ in range(FLOOD_CONNECTIONS):
             with contextlib.suppress(OSError):
-                crowd.append(await asyncio.open_connection(*self._processes.address))
-        await asyncio.sleep(CROWD_S)
-        for _, writer in crowd:
+                connections.append(await asyncio.open_connection(*self._processes.address))
+        await asyncio.sleep(FLOOD_LENGTH_S)
+        for _, writer in connections:
             writer.close()
-        self.history.crowds.append((began, time.monotonic()))
+        self.history.connection_floods.append((began, time.monotonic()))
 
-    async def _look_at_quiet(self) -> None:
-        """Note what the last process uses while nothing is sent."""
-        await asyncio.sleep(QUIET_S)
+    async def _measure_idle_usage(self) -> None:
+        """Record what the live processes use while no requests are sent."""
+        await asyncio.sleep(IDLE_S)
         for process in self._processes.live():
             before_s = process.cpu_s()
-            await asyncio.sleep(QUIET_S)
-            self.history.quiet.append(
-                Quiet(
+            await asyncio.sleep(IDLE_S)
+            self.history.idle_usage.append(
+                IdleUsage(
                     process.name,
-                    QUIET_S,
+                    IDLE_S,
                     process.cpu_s() - before_s,
                     process.descriptor_count(),
                     process.descriptors,
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of one run: everything in it follows from the seed."""
+"""The schedule of one run, derived from the seed alone."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 UPSTREAMS = 4
 
 
-class Act(Enum):
-    """What can be done to the processes and their peers."""
+class Operation(Enum):
+    """What a step can do to the processes and their peers."""
 
-    REPLACE = "replace"  # a new process, then SIGTERM, several times, to the old one
-    CRASH = "crash"  # SIGKILL without a word, then a new process
-    TERMINATE_STARTING = "terminate-starting"  # a further process, SIGTERM while it starts
+    REPLACE = "replace"  # start a new process, then send the old one SIGTERM several times
+    CRASH = "crash"  # SIGKILL with no SIGTERM before it, then start a new process
+    TERMINATE_STARTING = "terminate-starting"  # start a further process and send it SIGTERM during its start
     KILL_STARTING = "kill-starting"
-    RELOAD = "reload"  # a series of SIGHUP and SIGUSR1
+    RELOAD = "reload"  # send a series of SIGHUP and SIGUSR1
     DRAIN = "drain"
     CORDON = "cordon"
     UPSTREAM_FAULT = "upstream-fault"
     DISCOVERY_FAULT = "discovery-fault"
-    CROWD = "crowd"
+    CONNECTION_FLOOD = "connection-flood"
 
 
 class UpstreamFault(Enum):
-    """What an upstream does to each request for a while."""
+    """What an upstream does with every request while it is faulty."""
 
     HANG = "hang"
     RESET = "reset"
@@ -35,49 +35,49 @@
 
 
 class DiscoveryFault(Enum):
-    """What discovery does for a while."""
+    """What discovery does while it is faulty."""
 
-    AWAY = "away"
+    DOWN = "down"
     SILENT = "silent"
 
 
 _WEIGHTS = {
-    Act.REPLACE: 5,
-    Act.CRASH: 1,
-    Act.TERMINATE_STARTING: 1,
-    Act.KILL_STARTING: 1,
-    Act.RELOAD: 3,
-    Act.DRAIN: 3,
-    Act.CORDON: 3,
-    Act.UPSTREAM_FAULT: 5,
-    Act.DISCOVERY_FAULT: 2,
-    Act.CROWD: 1,
+    Operation.REPLACE: 5,
+    Operation.CRASH: 1,
+    Operation.TERMINATE_STARTING: 1,
+    Operation.KILL_STARTING: 1,
+    Operation.RELOAD: 3,
+    Operation.DRAIN: 3,
+    Operation.CORDON: 3,
+    Operation.UPSTREAM_FAULT: 5,
+    Operation.DISCOVERY_FAULT: 2,
+    Operation.CONNECTION_FLOOD: 1,
 }
 
 
 @dataclass(frozen=True)
 class Step:
-    """One act, at a time after the start of the run; the other fields are used as the act needs them."""
+    """One operation, its time from the start of the run, and arguments that only some operations use."""
 
     at_s: float
-    act: Act
+    operation: Operation
     upstream: int
     length_s: float
-    pauses_s: tuple[float, ...]  # between the signals of a series
+    pauses_s: tuple[float, ...]  # pauses between the signals of a series
     upstream_fault: UpstreamFault
     discovery_fault: DiscoveryFault
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """One run."""
+    """The plan of one run."""
 
     seed: int
     seconds: float
     shares_listener: bool
     hedges: bool
     clients: int
-    process_faults: tuple[dict[str, str], ...]  # environment of each process in turn
+    process_faults: tuple[dict[str, str], ...]  # the environment variables of each process, in start order
     steps: tuple[Step, ...]
 
 
@@ -113,7 +113,7 @@
 
 
 def _process_faults(random: Random) -> dict[str, str]:
-    """Faults of the system round one process (``tests.faulty_program``); most have none."""
+    """Return the system faults that one process meets (see ``tests.faulty_program``); most get none."""
     kind = random.randrange(6)
     if kind == 0:
         return {"FAULT_WALL_STEP_S": str(random.choice((-3600.0, -5.0, 5.0, 3600.0)))}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its judge catches a planted fault of each rule, and some seeds are played in short."""
+"""Tests of the soak: its rules detect a planted violation each, and short runs of some seeds break none."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 import pytest
 
-from tests.soak.__main__ import describe, main, parse_seeds, play
+from tests.soak.__main__ import describe, main, parse_seeds, run_seed
 from tests.soak.history import (
     Answer,
     Arrival,
     ClientRequest,
     History,
-    Notice,
+    IdleUsage,
     ProcessEnd,
     ProcessStart,
-    Quiet,
+    Removal,
 )
-from tests.soak.judge import judge
+from tests.soak.judge import find_violations
 from tests.soak.schedule import plan
 
 SECONDS = 8.0
@@ -39,70 +39,82 @@
     return History({"r": request}, list(arrivals), **more)  # type: ignore[arg-type]
 
 
-def test_judge_finds_nothing_in_what_is_allowed() -> None:
+def test_rules_accept_allowed_histories() -> None:
     closed = served(answers=[], closed_at=10.2)
     shutdown = ProcessEnd("p0", 10.0, 12.0, 0, 13.2)
     allowed = [
         history(served(), arrival(), arrival(10.06)),
-        history(served("pay"), arrival(), arrival(10.06, ran=False)),
+        history(served("pay"), arrival(), arrival(10.06, executed=False)),
         history(served("order"), arrival(), arrival(10.5)),
         history(served("pay", answers=[Answer(10.7, 500)]), arrival()),
-        history(served("pay", answers=[Answer(10.7, 503)]), arrival(ran=False)),
-        history(served(answers=[], left_at=10.01), arrival(10.2)),
+        history(served("pay", answers=[Answer(10.7, 503)]), arrival(executed=False)),
+        history(served(answers=[], client_disconnected_at=10.01), arrival(10.2)),
         history(closed, ends=[shutdown]),
-        history(closed, crowds=[(10.0, 11.0)]),
+        history(closed, connection_floods=[(10.0, 11.0)]),
         history(closed, arrival(), crashes=[10.1]),
-        history(replace(closed, behind_close=True)),
-        history(served(), arrival(), notices=[Notice("s-0", 9.7)]),
-        history(served(), arrival(), notices=[Notice("s-0", 5.0, 10.0)]),
-        history(served(), arrival(), notices=[Notice("s-0", 5.0)], starts=[ProcessStart("p1", 9.0, 9.5)]),
+        history(replace(closed, after_connection_close=True)),
+        history(served(), arrival(), removals=[Removal("s-0", 9.7)]),
+        history(served(), arrival(), removals=[Removal("s-0", 5.0, 10.0)]),
+        history(served(), arrival(), removals=[Removal("s-0", 5.0)], starts=[ProcessStart("p1", 9.0, 9.5)]),
         history(served(answers=[Answer(12.2, 500)]), arrival(), stalls=[(11.0, 11.5)]),
-        history(served(answers=[Answer(12.2, 503)], due_behind=12.0)),
+        history(served(answers=[Answer(12.2, 503)], pipeline_due_at=12.0)),
         history(served(answers=[Answer(13.2, 500)]), arrival(), outages=[(9.0, 11.5)]),
     ]
-    assert [judge(each) for each in allowed] == [[]] * len(allowed)
+    assert [find_violations(each) for each in allowed] == [[]] * len(allowed)
 
 
 @pytest.mark.parametrize(
     ("rule", "planted"),
     [
         ("two answers", lambda: history(served(answers=[Answer(10.1, 200, True, b"body")] * 2))),
-        ("answer cut off", lambda: history(served(answers=[Answer(10.1, 200, False)]))),
+        ("truncated answer", lambda: history(served(answers=[Answer(10.1, 200, False)]))),
         ("answer of another request", lambda: history(served(answers=[Answer(10.1, 200, True, b"other")]))),
         ("unexpected status", lambda: history(served(answers=[Answer(10.1, 502)]))),
         (
-            "rejected though it has run",
+            "rejected after execution",
             lambda: history(served("pay", answers=[Answer(10.1, 503)]), arrival()),
         ),
         ("answer too late", lambda: history(served(answers=[Answer(12.1, 500)]))),
-        ("answer too late", lambda: history(served(answers=[Answer(12.6, 500)], due_behind=12.0))),
-        ("never answered", lambda: history(served(answers=[], waited_in_vain=True))),
-        ("forwarded and not answered", lambda: history(served(answers=[], closed_at=10.2), arrival())),
-        ("closed unread for no reason", lambda: history(served(answers=[], closed_at=10.2))),
-        ("unsafe request run twice", lambda: history(served("pay"), arrival(), arrival(10.06))),
+        ("answer too late", lambda: history(served(answers=[Answer(12.6, 500)], pipeline_due_at=12.0))),
+        ("never answered", lambda: history(served(answers=[], client_timed_out=True))),
+        ("forwarded but not answered", lambda: history(served(answers=[], closed_at=10.2), arrival())),
+        ("connection closed without a reason", lambda: history(served(answers=[], closed_at=10.2))),
+        ("unsafe request executed twice", lambda: history(served("pay"), arrival(), arrival(10.06))),
         (
-            "keyed request repeated in another group",
+            "keyed request executed in another group",
             lambda: history(served("order"), arrival(), arrival(10.06, group=1)),
         ),
         (
-            "keyed request repeated after its window",
-            lambda: history(served("order", limit_s=5.0), arrival(), arrival(11.8)),
+            "keyed request executed again after its window",
+            lambda: history(served("order", timeout_s=5.0), arrival(), arrival(11.8)),
         ),
-        ("attempt after its client left", lambda: history(served(answers=[], left_at=10.0), arrival(10.3))),
-        ("attempt of an unknown request", lambda: History(arrivals=[arrival()])),
-        ("sent to a draining upstream", lambda: history(served(), arrival(), notices=[Notice("s-0", 9.6)])),
-        ("exit status", lambda: History(ends=[ProcessEnd("p0", 10.0, 11.0, -15, 13.2)])),
-        ("not ended before the kill", lambda: History(ends=[ProcessEnd("p0", 10.0, 13.4, 0, 13.2)])),
+        (
+            "attempt after its client disconnected",
+            lambda: history(served(answers=[], client_disconnected_at=10.0), arrival(10.3)),
+        ),
+        ("attempt for an unknown request", lambda: History(arrivals=[arrival()])),
+        ("sent to a draining upstream", lambda: history(served(), arrival(), removals=[Removal("s-0", 9.6)])),
+        ("unexpected exit status", lambda: History(ends=[ProcessEnd("p0", 10.0, 11.0, -15, 13.2)])),
+        ("still running when SIGKILL was due", lambda: History(ends=[ProcessEnd("p0", 10.0, 13.4, 0, 13.2)])),
         ("not ready in time", lambda: History(starts=[ProcessStart("p0", 10.0, 20.1)])),
         ("not ready in time", lambda: History(starts=[ProcessStart("p0", 10.0, math.inf)])),
-        ("busy while nothing is sent", lambda: History(quiet=[Quiet("p0", 2.0, 0.6, 20, 20, 0, 0)])),
-        ("descriptors kept", lambda: History(quiet=[Quiet("p0", 2.0, 0.0, 70, 20, 0, 0)])),
-        ("memory kept", lambda: History(quiet=[Quiet("p0", 2.0, 0.0, 20, 20, 90_000, 30_000)])),
+        (
+            "high processor use while idle",
+            lambda: History(idle_usage=[IdleUsage("p0", 2.0, 0.6, 20, 20, 0, 0)]),
+        ),
+        (
+            "too many descriptors open while idle",
+            lambda: History(idle_usage=[IdleUsage("p0", 2.0, 0.0, 70, 20, 0, 0)]),
+        ),
+        (
+            "too much memory held while idle",
+            lambda: History(idle_usage=[IdleUsage("p0", 2.0, 0.0, 20, 20, 90_000, 30_000)]),
+        ),
     ],
 )
-def test_judge_catches_a_planted_fault(rule: str, planted: Callable[[], History]) -> None:
-    found = judge(planted())
-    assert [breach.rule for breach in found] == [rule]
+def test_rules_detect_a_planted_violation(rule: str, planted: Callable[[], History]) -> None:
+    found = find_violations(planted())
+    assert [violation.rule for violation in found] == [rule]
     assert f"{rule} x1: " in describe(7, 20.0, planted(), found)
 
 
@@ -124,7 +136,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5])
 def test_seed_breaks_no_rule(seed: int, tmp_path: Path) -> None:
-    """Guards against what only processes in turn, under faults and series of signals, show."""
-    seen, breaches = play(seed, SECONDS, tmp_path)
-    assert breaches == [], describe(seed, SECONDS, seen, breaches)
-    assert sum(bool(each.answers) for each in seen.requests.values()) > 100
+    """Guards against faults that show only when processes replace each other under faults and signals."""
+    seen_history, violations = run_seed(seed, SECONDS, tmp_path)
+    assert violations == [], describe(seed, SECONDS, seen_history, violations)
+    assert sum(bool(each.answers) for each in seen_history.requests.values()) > 100
