--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -1,4 +1,4 @@
-"""The operators' layer over the endpoint list, and what one process leaves for the next. No I/O."""
+"""Tests of cordons as a layer over the endpoint list, and of the state that a process passes to the next."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 from tests.conftest import make_settings
 
 NOW = 1_000_000.0
-HERE = ClockReading(NOW, "boot")  # the clock and the boot of the tests' machine
-NODES = tuple(Endpoint(f"s-{i}", "127.0.0.1", 1000 + i, replica_group=1) for i in range(3))
+HERE = ClockReading(NOW, "boot")  # clock time and boot identifier of the machine that the tests stand for
+ENDPOINTS = tuple(Endpoint(f"s-{i}", "127.0.0.1", 1000 + i, replica_group=1) for i in range(3))
 
 
 def _coordinator() -> RequestCoordinator:
     coordinator = RequestCoordinator(make_settings(), 1, 0.0)
-    coordinator.update_endpoints(NOW, EndpointList(1, True, NODES), cached=True)
+    coordinator.update_endpoints(NOW, EndpointList(1, True, ENDPOINTS), cached=True)
     return coordinator
 
 
-def _sent(coordinator: RequestCoordinator, now: float, count: int = 60) -> set[str]:
-    """Where some requests went."""
+def _upstreams_used(coordinator: RequestCoordinator, now: float, count: int = 60) -> set[str]:
+    """Return the upstreams that a number of requests are sent to."""
     upstreams = set()
     for number in range(count):
         effects = coordinator.pick(now, Request(f"{now}-{number}", "view", 1.0))
@@ -45,36 +45,38 @@
     return upstreams
 
 
-def test_cordoned_node_stays_out_whatever_lists_say() -> None:
+def test_cordoned_upstream_stays_out_of_service_whatever_lists_say() -> None:
     coordinator = _coordinator()
     effects = coordinator.cordon(NOW, "s-1")
     assert effects is not None and effects.close_idle == ["s-1"]
-    assert coordinator.cordon(NOW, "s-1") is not None  # two calls out ...
-    moved = replace(NODES[1], port=2000, since=NOW + 1.0)
-    for news in (
-        EndpointList(2, True, NODES),
+    assert coordinator.cordon(NOW, "s-1") is not None  # a repeated call succeeds as well
+    moved = replace(ENDPOINTS[1], port=2000, since=NOW + 1.0)
+    for update in (
+        EndpointList(2, True, ENDPOINTS),
         EndpointList(3, False, (moved,)),
-        EndpointList(4, False, (replace(NODES[1], state=EndpointState.GONE),)),
+        EndpointList(4, False, (replace(ENDPOINTS[1], state=EndpointState.GONE),)),
         EndpointList(5, False, (moved,)),
     ):
-        coordinator.update_endpoints(NOW + 1.0, news)
+        coordinator.update_endpoints(NOW + 1.0, update)
         assert coordinator.address("s-1") is None
-    assert _sent(coordinator, NOW + 1.0) == {"s-0", "s-2"}
-    assert coordinator.uncordon(NOW + 2.0, "s-1") is not None  # ... need one back
+    assert _upstreams_used(coordinator, NOW + 1.0) == {"s-0", "s-2"}
+    assert (
+        coordinator.uncordon(NOW + 2.0, "s-1") is not None
+    )  # one call lifts the cordon, however many calls set it
     assert coordinator.address("s-1") == ("127.0.0.1", 2000)
-    assert _sent(coordinator, NOW + 2.0) == {"s-0", "s-1", "s-2"}
+    assert _upstreams_used(coordinator, NOW + 2.0) == {"s-0", "s-1", "s-2"}
 
 
-def _started(coordinator: RequestCoordinator) -> dict[str, float]:
-    """When the decisions take each upstream to have started."""
+def _start_times(coordinator: RequestCoordinator) -> dict[str, float]:
+    """Return the start time that the balancer assumes for each upstream."""
     return {
         name: upstream.member.started
         for name, upstream in coordinator._balancer.learned_figures().upstreams.items()
     }
 
 
-def test_word_that_is_not_new_costs_the_module_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the list laid out anew with each file that another process leaves, once a second."""
+def test_known_cordon_records_do_not_reach_the_balancer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an endpoint list rebuilt for each state file of another process, once a second."""
     coordinator = _coordinator()
     coordinator.cordon(NOW, "s-1")
     monkeypatch.setattr(coordinator._balancer, "handle", None)
@@ -85,35 +87,37 @@
         assert effects == Effects()
 
 
-def test_attempt_picked_before_the_cordon_is_not_begun_after_it() -> None:
+def test_attempt_picked_before_the_cordon_may_not_begin_after_it() -> None:
     coordinator = _coordinator()
     attempt = coordinator.pick(NOW, Request("j", "view", 1.0)).attempts[0]
     coordinator.cordon(NOW, attempt.upstream)
     assert not coordinator.may_begin(NOW, attempt)
 
 
-def test_ids_that_nobody_has_get_a_no_and_vanished_ones_a_yes() -> None:
+def test_unknown_ids_are_rejected_and_cordoned_ids_that_left_the_list_are_accepted() -> None:
     coordinator = _coordinator()
     assert coordinator.cordon(NOW, "s-9") is None and coordinator.uncordon(NOW, "s-9") is None
     coordinator.cordon(NOW, "s-0")
-    coordinator.update_endpoints(NOW, EndpointList(2, True, NODES[1:]))
+    coordinator.update_endpoints(NOW, EndpointList(2, True, ENDPOINTS[1:]))
     assert coordinator.uncordon(NOW, "s-0") is not None
-    # Back in the list it serves: the mark does not come alive again.
-    coordinator.update_endpoints(NOW, EndpointList(3, True, NODES))
+    # Back in the list, the upstream is in service: the cordon was lifted and does not return.
+    coordinator.update_endpoints(NOW, EndpointList(3, True, ENDPOINTS))
     assert coordinator.address("s-0") is not None
 
 
-def test_node_given_back_is_cold_and_warms_up() -> None:
+def test_uncordoned_upstream_counts_as_just_started_and_warms_up() -> None:
     coordinator = _coordinator()
-    coordinator.update_endpoints(NOW, EndpointList(1, True, NODES))
+    coordinator.update_endpoints(NOW, EndpointList(1, True, ENDPOINTS))
     coordinator.cordon(NOW, "s-0")
     coordinator.uncordon(NOW + 3.0, "s-0")
-    assert _started(coordinator) == {"s-0": NOW + 3.0, "s-1": 0.0, "s-2": 0.0}
-    coordinator.update_endpoints(NOW + 10.0, EndpointList(2, False, (replace(NODES[0], since=NOW + 9.0),)))
-    assert _started(coordinator)["s-0"] == NOW + 9.0
+    assert _start_times(coordinator) == {"s-0": NOW + 3.0, "s-1": 0.0, "s-2": 0.0}
+    coordinator.update_endpoints(
+        NOW + 10.0, EndpointList(2, False, (replace(ENDPOINTS[0], since=NOW + 9.0),))
+    )
+    assert _start_times(coordinator)["s-0"] == NOW + 9.0
 
 
-def test_mark_with_an_end_ends_by_itself() -> None:
+def test_cordon_with_an_expiry_ends_by_itself() -> None:
     coordinator = _coordinator()
     effects = coordinator.merge_cordons(NOW, [CordonRecord("s-0", True, NOW, "release", NOW + 5.0)])
     assert isinstance(effects, Effects) and coordinator.address("s-0") is None
@@ -122,7 +126,7 @@
     assert coordinator.address("s-0") is not None
 
 
-_marks = st.lists(
+_record_lists = st.lists(
     st.builds(
         CordonRecord,
         st.sampled_from(["a", "b"]),
@@ -134,8 +138,8 @@
 )
 
 
-@given(_marks, _marks)
-def test_processes_agree_once_they_have_exchanged_their_marks(
+@given(_record_lists, _record_lists)
+def test_processes_agree_once_they_have_exchanged_their_records(
     left: list[CordonRecord], right: list[CordonRecord]
 ) -> None:
     one, two = Cordons(), Cordons()
@@ -152,7 +156,7 @@
     assert one.merge(two.records()) == []
 
 
-def test_later_call_wins_though_the_clock_went_back() -> None:
+def test_later_call_wins_although_the_clock_went_back() -> None:
     one, two = Cordons(), Cordons()
     one.cordon("s", 100.0)
     two.merge(one.records())
@@ -161,15 +165,17 @@
     assert not one.is_active("s", 100.0)
 
 
-MARK = CordonRecord("s-0", True, NOW - 1.0, sequence=3)
-LEFT = snapshot.encode(HERE, [MARK], EndpointList(7, True, NODES), LearnedState({"a": 1}, NOW - 2.0))
+RECORD = CordonRecord("s-0", True, NOW - 1.0, sequence=3)
+STATE = snapshot.encode(HERE, [RECORD], EndpointList(7, True, ENDPOINTS), LearnedState({"a": 1}, NOW - 2.0))
 
 
-def test_handover_comes_back_as_it_was() -> None:
-    left = LearnedState({"a": 1}, NOW - 2.0)
-    assert snapshot.decode(LEFT, HERE) == snapshot.StateSnapshot((MARK,), EndpointList(7, True, NODES), left)
+def test_state_snapshot_is_decoded_as_it_was_encoded() -> None:
+    learned_state = LearnedState({"a": 1}, NOW - 2.0)
+    assert snapshot.decode(STATE, HERE) == snapshot.StateSnapshot(
+        (RECORD,), EndpointList(7, True, ENDPOINTS), learned_state
+    )
     old = snapshot.encode(HERE, [CordonRecord("a", False, NOW - 700.0), CordonRecord("b", True, NOW - 700.0)])
-    assert [mark.upstream for mark in snapshot.decode(old, HERE).records] == ["b"]
+    assert [record.upstream for record in snapshot.decode(old, HERE).records] == ["b"]
 
 
 def _forged(body: bytes, version: int = 1) -> bytes:
@@ -184,8 +190,8 @@
     )
 
 
-_REST = b'"version":1,"listed_at":1}'
-_MARK = b'{"marks":[{"who":"a","out":true,"at":%s,"by":"x","until":null}]}'
+_LIST_END_JSON = b'"version":1,"listed_at":1}'
+_RECORD_JSON = b'{"marks":[{"who":"a","out":true,"at":%s,"by":"x","until":null}]}'
 
 
 @pytest.mark.parametrize(
@@ -193,30 +199,32 @@
     [
         b"",
         b"\n",
-        LEFT[:-1],
-        LEFT + b"x",
-        LEFT.replace(b"s-0", b"s-9", 1),
-        LEFT.replace(b"handover 1", b"handover 2", 1),
+        STATE[:-1],
+        STATE + b"x",
+        STATE.replace(b"s-0", b"s-9", 1),
+        STATE.replace(b"handover 1", b"handover 2", 1),
         b"#!/bin/sh\n",
         b"x" * (snapshot.MAX_BYTES + 1),
         _forged(b"[]"),
         _forged(b"{}"),
         _forged(b'{"marks":[{}]}'),
-        _forged(_MARK % b'"soon"'),
-        _forged(_MARK % b"1e300"),
-        _forged(_MARK % b"-1"),
+        _forged(_RECORD_JSON % b'"soon"'),
+        _forged(_RECORD_JSON % b"1e300"),
+        _forged(_RECORD_JSON % b"-1"),
         _forged(b'{"marks":[],"machines":[[1]],"version":1,"listed_at":1}'),
-        _forged(b'{"marks":[],"machines":[{"name":"a","address":"h:99999","status":"Ready"}],' + _REST),
-        _forged(b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"odd"}],' + _REST),
+        _forged(
+            b'{"marks":[],"machines":[{"name":"a","address":"h:99999","status":"Ready"}],' + _LIST_END_JSON
+        ),
+        _forged(b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"odd"}],' + _LIST_END_JSON),
         _forged(b'{"marks":[],"machines":[],"version":1,"listed_at":-1}'),
         _forged(b'{"marks":[],"clock":[]}'),
         _forged(b'{"marks":[],"clock":{"boot":"boot","at":-1}}'),
         _forged(b'{"marks":[],"clock":{"boot":"boot","at":1,"current_at":1,"starts":{"a":[1]}}}'),
-        _forged(_MARK[:-1] % b"1" + b',"clock":{"boot":"boot","at":1}}'),
+        _forged(_RECORD_JSON[:-1] % b"1" + b',"clock":{"boot":"boot","at":1}}'),
         _forged(b"[" * 100_000),
     ],
 )
-def test_handover_that_is_not_sound_is_refused(data: bytes) -> None:
+def test_invalid_state_snapshot_is_rejected(data: bytes) -> None:
     with pytest.raises(SnapshotError):
         snapshot.decode(data, HERE)
 
@@ -235,63 +243,71 @@
         st.integers(0, 2_000_000_000_000).map(lambda ms: ms / 1000.0),
     )
 )
-def test_machine_is_read_as_it_was_written(endpoint: Endpoint) -> None:
-    """To the bit: a start that differs at all would make the upstream one that has started since."""
+def test_endpoint_is_read_as_it_was_written(endpoint: Endpoint) -> None:
+    """Guards against a start time that is not kept to the bit: the upstream would count as restarted."""
     data = orjson.loads(orjson.dumps(encode_endpoint(endpoint)))
     assert parse_endpoint_list({"index": 1, "snapshot": True, "endpoints": [data]}).endpoints == (endpoint,)
 
 
-def test_forged_handover_of_the_right_shape_is_read() -> None:
-    listed = _forged(b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"Ready"}],' + _REST)
+def test_forged_state_snapshot_of_the_right_shape_is_read() -> None:
+    listed = _forged(
+        b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"Ready"}],' + _LIST_END_JSON
+    )
     assert snapshot.decode(listed, HERE).known == EndpointList(1, True, (Endpoint("a", "h", 1),))
-    marks = snapshot.decode(_forged(_MARK % b"1"), HERE).records
-    assert marks == (CordonRecord("a", True, 1.0, "x", math.inf, 1_000_000),)
+    records = snapshot.decode(_forged(_RECORD_JSON % b"1"), HERE).records
+    assert records == (CordonRecord("a", True, 1.0, "x", math.inf, 1_000_000),)
 
 
-# --- what was learnt --------------------------------------------------------------------------------------
+# --- learned state ----------------------------------------------------------------------------------------
 
 
-def _busy(coordinator: RequestCoordinator) -> None:
-    """Requests of which one upstream is slow, and busy by its reports, and one fails."""
+def _serve_mixed_load(coordinator: RequestCoordinator) -> None:
+    """Serve requests: s-0 is slow and reports high utilisation, s-1 is sound, s-2 fails after a while."""
     for number in range(300):
         now = NOW + number * 0.01
         effects = coordinator.pick(now, Request(f"b{number}", "view", 1.0, key=f"k{number % 7}"))
         if not effects.attempts:
             continue
         attempt = effects.attempts[0]
-        slow = {"s-0": 0.3, "s-1": 0.02, "s-2": 0.05}[attempt.upstream]
+        latency_s = {"s-0": 0.3, "s-1": 0.02, "s-2": 0.05}[attempt.upstream]
         outcome = AttemptOutcome.ERROR if attempt.upstream == "s-2" and number > 150 else AttemptOutcome.OK
-        coordinator.report(now + slow, attempt, outcome, LoadReport(rate=10.0, utilisation=slow * 2))
-        coordinator.client_disconnected(now + slow, attempt.request_id)
+        coordinator.report(
+            now + latency_s, attempt, outcome, LoadReport(rate=10.0, utilisation=latency_s * 2)
+        )
+        coordinator.client_disconnected(now + latency_s, attempt.request_id)
 
 
-def test_next_process_starts_from_what_was_learnt() -> None:
+def test_next_process_starts_from_the_learned_state() -> None:
     old, new = (
         _coordinator(),
         RequestCoordinator(make_settings(), 2, 500.0),
-    )  # the wall clock was set between the two
-    _busy(old)
+    )  # the wall clock was set between the two starts
+    _serve_mixed_load(old)
     now = NOW + 3.0
-    new.update_endpoints(now, EndpointList(1, True, NODES), cached=True)
+    new.update_endpoints(now, EndpointList(1, True, ENDPOINTS), cached=True)
     learned = LearnedState(old.export_learned_state(now), now)
     data = snapshot.encode(ClockReading(now, "boot"), [], None, learned)
-    left = snapshot.decode(data, ClockReading(now + 1.0, "boot")).learned
-    assert left is not None and left.at == now and new.restore_learned_state(now, left.figures).notes == []
+    restored = snapshot.decode(data, ClockReading(now + 1.0, "boot")).learned
+    assert (
+        restored is not None
+        and restored.at == now
+        and new.restore_learned_state(now, restored.figures).notes == []
+    )
     before, after = old.export_learned_state(now), new.export_learned_state(now)
     assert before is not None and after is not None
     assert after["classes"] == before["classes"] and sorted(after["keys"]) == sorted(before["keys"])
     assert after["capacity"] == before["capacity"]
     for name, (started, capacity, reports, health, ejection) in before["nodes"].items():
-        mine = after["nodes"][name]
-        assert mine[:2] == [started, capacity] and mine[4] == (ejection and pytest.approx(ejection))
-        assert mine[3] == pytest.approx(health) and mine[2][:2] == pytest.approx(reports[:2])
+        actual = after["nodes"][name]
+        assert actual[:2] == [started, capacity] and actual[4] == (ejection and pytest.approx(ejection))
+        assert actual[3] == pytest.approx(health) and actual[2][:2] == pytest.approx(reports[:2])
 
 
-def test_node_that_has_started_since_is_not_judged_by_what_was() -> None:
+def test_upstream_that_has_restarted_takes_over_no_learned_figures() -> None:
     old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 0.0)
-    _busy(old)
-    again = (replace(NODES[0], since=NOW + 2.0), *NODES[1:])
-    new.update_endpoints(NOW + 3.0, EndpointList(2, True, again), cached=True)
+    _serve_mixed_load(old)
+    restarted = (replace(ENDPOINTS[0], since=NOW + 2.0), *ENDPOINTS[1:])
+    new.update_endpoints(NOW + 3.0, EndpointList(2, True, restarted), cached=True)
     new.restore_learned_state(NOW + 3.0, old.export_learned_state(NOW + 3.0))
     after = new.export_learned_state(NOW + 3.0)
     assert after is not None
@@ -299,7 +315,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "invalid",
     [
         {"classes": {"view": [-1.0, 0.0]}},
         {"classes": {"view": ["soon", 0.0]}},
@@ -312,90 +328,91 @@
         {"nodes": {"s-0": [0.0, [1.0, 1.0], None, [0.0, True, 0.0], None]}},
     ],
 )
-def test_invalid_learned_state_is_reported_and_harmless(spoil: dict[str, object]) -> None:
+def test_invalid_learned_state_is_reported_and_harmless(invalid: dict[str, object]) -> None:
     coordinator = _coordinator()
-    sound = coordinator.export_learned_state(NOW)
-    assert sound is not None and coordinator.restore_learned_state(NOW, sound).notes == []
-    notes = coordinator.restore_learned_state(NOW, {**sound, **spoil}).notes
+    valid = coordinator.export_learned_state(NOW)
+    assert valid is not None and coordinator.restore_learned_state(NOW, valid).notes == []
+    notes = coordinator.restore_learned_state(NOW, {**valid, **invalid}).notes
     assert len(notes) == 1 and notes[0].startswith("learned state of the previous process ignored")
     assert (
         coordinator.restore_learned_state(NOW, None).notes
         and coordinator.restore_learned_state(NOW, []).notes
     )
-    assert _sent(coordinator, NOW + 1.0)
+    assert _upstreams_used(coordinator, NOW + 1.0)
 
 
-# --- the files --------------------------------------------------------------------------------------------
+# --- state files ------------------------------------------------------------------------------------------
 
 
-def test_processes_read_each_others_files_once_and_keep_one_each(tmp_path: Path) -> None:
+def test_processes_read_each_others_files_once_and_keep_one_file_each(tmp_path: Path) -> None:
     one, two = StateFiles(str(tmp_path), "n/0"), StateFiles(str(tmp_path), "n/0")
     for _ in range(3):
-        one.write(LEFT)
+        one.write(STATE)
     assert one.list_unread(NOW) == [] and len(os.listdir(tmp_path)) == 1
     (name,) = two.list_unread(NOW)
-    assert two.read(name, HERE) == snapshot.decode(LEFT, HERE) and two.list_unread(NOW) == []
-    two.write(LEFT)
+    assert two.read(name, HERE) == snapshot.decode(STATE, HERE) and two.list_unread(NOW) == []
+    two.write(STATE)
     assert len(os.listdir(tmp_path)) == 2 and len(one.list_unread(NOW)) == 1
-    assert two.read("indigokeel-n_0.handover.9-9", HERE) is None  # gone meanwhile
+    assert two.read("indigokeel-n_0.handover.9-9", HERE) is None  # it no longer exists
 
 
-def test_files_of_processes_that_are_gone_go_once_they_were_read_and_stood_for_long(tmp_path: Path) -> None:
-    """Their age is that of this process's own looks: no clock that another set is asked."""
+def test_read_files_of_ended_processes_are_removed_after_a_while(tmp_path: Path) -> None:
+    """A file's age counts from when this process first listed it, so that no other clock is compared."""
     files = StateFiles(str(tmp_path), "n0")
     prefix = "indigokeel-n0.handover."
     foreign = tmp_path / "indigokeel-n1.handover.3-3"
-    left = [tmp_path / (prefix + tail) for tail in ("5-5", f"{time.time_ns()}-6", "7-7~")]
-    for path in (*left, foreign):
-        path.write_bytes(LEFT)
-    unread, read, half = (path.name for path in left)
+    leftovers = [tmp_path / (prefix + suffix) for suffix in ("5-5", f"{time.time_ns()}-6", "7-7~")]
+    for path in (*leftovers, foreign):
+        path.write_bytes(STATE)
+    unread, read, partial = (path.name for path in leftovers)
     assert files.list_unread(NOW) == [read, unread]
     assert files.read(read, HERE)
-    files.write(LEFT)
+    files.write(STATE)
     files.list_unread(NOW + 29.9)
     files.remove_leftovers(NOW + 29.9)
     assert len(os.listdir(tmp_path)) == 5
     files.list_unread(NOW + 30.0)
     files.remove_leftovers(NOW + 30.0)
-    assert not (tmp_path / read).exists() and not (tmp_path / half).exists()
-    assert left[0].exists() and foreign.exists() and len(os.listdir(tmp_path)) == 3
+    assert not (tmp_path / read).exists() and not (tmp_path / partial).exists()
+    assert leftovers[0].exists() and foreign.exists() and len(os.listdir(tmp_path)) == 3
 
 
 @pytest.mark.parametrize("step", [-3600 * 10**9, 3600 * 10**9])
-def test_newest_file_is_read_first_whatever_the_wall_clock_says(
+def test_newest_file_is_read_first_whatever_the_wall_clock_shows(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    (tmp_path / f"indigokeel-n0.handover.{time.time_ns()}-1").write_bytes(LEFT)  # of an older version
+    # Older versions put Unix nanoseconds into the name.
+    (tmp_path / f"indigokeel-n0.handover.{time.time_ns()}-1").write_bytes(STATE)
     one, two, reader = (StateFiles(str(tmp_path), "n0") for _ in range(3))
     monkeypatch.setattr(os, "getpid", lambda: 8)
     one.list_unread(NOW)
-    one.write(LEFT)
+    one.write(STATE)
     stepped = time.time_ns() + step
     monkeypatch.setattr(time, "time_ns", lambda: stepped)
     monkeypatch.setattr(os, "getpid", lambda: 7)
     two.list_unread(NOW)
-    two.write(LEFT)
+    two.write(STATE)
     assert [name.rpartition("-")[2] for name in reader.list_unread(NOW)] == ["7", "8", "1"]
 
 
-def test_file_is_never_put_in_the_place_of_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the write-out that a file system does then: it held the loop up for 0.1 to 0.3 s."""
-    targets: list[bool] = []
+def test_file_is_never_renamed_over_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a flush by the file system on replacing a file: it blocked the loop for 0.1 to 0.3 s."""
+    target_existed: list[bool] = []
     rename = Path.rename
 
-    def watched(old: Path, new: Path) -> Path:
-        targets.append(new.exists())
+    def recorded(old: Path, new: Path) -> Path:
+        target_existed.append(new.exists())
         return rename(old, new)
 
     monkeypatch.setattr(Path, "replace", None)
-    monkeypatch.setattr(Path, "rename", watched)
+    monkeypatch.setattr(Path, "rename", recorded)
     files = StateFiles(str(tmp_path), "n0")
     for _ in range(5):
-        files.write(LEFT)
-    assert targets == [False] * 5
+        files.write(STATE)
+    assert target_existed == [False] * 5
 
 
-def test_folder_that_cannot_be_written_is_an_error_and_leaves_nothing(tmp_path: Path) -> None:
+def test_missing_folder_is_an_error_on_write_and_empty_on_read(tmp_path: Path) -> None:
     with pytest.raises(OSError):
-        StateFiles(str(tmp_path / "none"), "n0").write(LEFT)
+        StateFiles(str(tmp_path / "none"), "n0").write(STATE)
     assert StateFiles(str(tmp_path / "none"), "n0").list_unread(NOW) == []
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks by the upstream client, and by the program where they are its only source of load reports."""
+"""Tests of health checks: by the upstream client, and in a program that has no other load reports."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from tests.test_endings import Held
 
 
-def coordinator_of(port: int) -> RequestCoordinator:
-    """Return a coordinator whose only upstream, s-0, listens on a port."""
+def make_coordinator(port: int) -> RequestCoordinator:
+    """Return a coordinator whose only upstream, s-0, listens on the given port."""
     coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
     entry = peers.entry("s-0", port)
     coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
     return coordinator
 
 
-async def until_idle(client: UpstreamClient) -> None:
+async def wait_until_idle(client: UpstreamClient) -> None:
     """Wait until a connection is idle."""
     for _ in range(2000):
         if client.connections.idle():
             return
         await asyncio.sleep(0.001)
-    raise AssertionError("no connection was kept")
+    raise AssertionError("no connection became idle")
 
 
 @pytest.mark.parametrize(
-    ("answer", "found"),
+    ("answer", "expected"),
     [
         (peers.ok(b"inflight=7,util=0.5"), (AttemptOutcome.OK, LoadReport(in_flight=7.0, utilisation=0.5))),
         (peers.ok(b"", "Server-Load: qps=3\r\n"), (AttemptOutcome.OK, LoadReport(rate=3.0))),
@@ -51,11 +51,13 @@
         (None, (AttemptOutcome.BROKEN, None)),
     ],
 )
-def test_health_check(answer: bytes | None, found: tuple[AttemptOutcome, LoadReport | None]) -> None:
+def test_health_check_returns_outcome_and_load_report(
+    answer: bytes | None, expected: tuple[AttemptOutcome, LoadReport | None]
+) -> None:
     upstream = peers.Peer(lambda message: b"!" + answer if answer else None)
-    coordinator = coordinator_of(upstream.port)
+    coordinator = make_coordinator(upstream.port)
     client = UpstreamClient(coordinator, Counters("t"), UpstreamClientOptions(0.25, 30.0, 8))
-    assert asyncio.run(client.check_health("s-0")) == found
+    assert asyncio.run(client.check_health("s-0")) == expected
     assert upstream.got[0].line == "GET /_load HTTP/1.1"
     upstream.close()
     assert asyncio.run(client.check_health("s-1")) == (AttemptOutcome.NOT_SENT, None)
@@ -64,7 +66,7 @@
 async def send_attempt(
     client: UpstreamClient, coordinator: RequestCoordinator, number: int
 ) -> AttemptOutcome:
-    """Send the first attempt of a request."""
+    """Send the first attempt of a request and return its outcome."""
     attempt = coordinator.pick(time.monotonic(), Request(f"j{number}", "view", 60.0)).attempts[0]
     outcome: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
     outbound = OutboundRequest(b"GET", b"/view/k", b"%d" % number, None, [], False)
@@ -73,32 +75,32 @@
 
 
 def test_health_checks_and_attempts_share_connections() -> None:
-    """Neither a health check nor the attempt after it costs a handshake."""
+    """Guards against a new connection for each health check, or for each attempt that follows one."""
     counters = Counters("t")
 
-    async def run() -> list[AttemptOutcome]:
-        coordinator = coordinator_of(upstream.port)
+    async def alternate() -> list[AttemptOutcome]:
+        coordinator = make_coordinator(upstream.port)
         client = UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 8))
         outcomes = []
         for number in range(5):
             assert (await client.check_health("s-0"))[0] is AttemptOutcome.OK
-            await until_idle(client)
+            await wait_until_idle(client)
             outcomes.append(await send_attempt(client, coordinator, number))
-            await until_idle(client)
+            await wait_until_idle(client)
         client.close_idle("s-0")
         return outcomes
 
     upstream = peers.Peer(lambda message: peers.ok(b"inflight=7,util=0.5"))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        assert runner.run(run()) == [AttemptOutcome.OK] * 5
+        assert runner.run(alternate()) == [AttemptOutcome.OK] * 5
     assert counters["upstream_connections"] == 1 and len(upstream.got) == 10
     upstream.close()
 
 
 @pytest.mark.parametrize("body", [b"", b"inflight=-1,util=x", b"inflight=1e99", b"{}", b"\xff\x00"])
-def test_health_check_with_absurd_figures_loses_only_its_report(body: bytes) -> None:
+def test_health_check_with_invalid_figures_succeeds_without_a_load_report(body: bytes) -> None:
     upstream = peers.Peer(lambda message: peers.ok(body))
-    coordinator = coordinator_of(upstream.port)
+    coordinator = make_coordinator(upstream.port)
     counters = Counters("t")
     client = UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 8))
     assert asyncio.run(client.check_health("s-0")) == (AttemptOutcome.OK, None)
@@ -114,7 +116,7 @@
 
 
 class ReportingUpstream:
-    """An upstream's script that reports a given load, and echoes requests."""
+    """The script of an upstream that reports a given load to health checks and echoes requests."""
 
     def __init__(self, load: bytes) -> None:
         self.load, self.health_checks = load, 0
@@ -126,7 +128,7 @@
         return ok(self.load)
 
 
-def test_upstream_that_reports_overload_gets_no_requests_until_it_reports_otherwise(tmp_path: Path) -> None:
+def test_upstream_that_reports_overload_gets_no_requests_until_its_load_falls(tmp_path: Path) -> None:
     upstream = ReportingUpstream(b"inflight=500,util=1.0,latency_ms=80,qps=20")
     with running(tmp_path, upstream, settings=HEALTH_CHECKED) as (program, (peer,), _):
         until(lambda: program.ask(request("pay", b"x"))[0] == 503)
@@ -140,7 +142,7 @@
         )
 
 
-def test_health_checks_without_figures_cost_no_request(tmp_path: Path) -> None:
+def test_health_checks_without_figures_fail_no_request(tmp_path: Path) -> None:
     upstream = ReportingUpstream(b"")
     with running(tmp_path, upstream, settings=HEALTH_CHECKED) as (program, _, _d):
         for number in range(40):
@@ -148,24 +150,24 @@
         until(lambda: program.counters().get("upstream_health_checks_without_report", 0) >= 8)
 
 
-def test_health_check_in_progress_while_its_upstream_drains_and_leaves_costs_nothing(tmp_path: Path) -> None:
-    """One of two upstreams answers neither health checks nor requests while it drains and leaves."""
-    held, other = Held(ReportingUpstream(b"inflight=0")), ReportingUpstream(b"inflight=0")
-    with running(tmp_path, held, other, settings=HEALTH_CHECKED) as (program, _, discovery):
+def test_health_check_in_progress_while_its_upstream_drains_and_goes_fails_no_request(tmp_path: Path) -> None:
+    """One of two upstreams answers neither health checks nor requests while it drains and becomes Gone."""
+    silent, other = Held(ReportingUpstream(b"inflight=0")), ReportingUpstream(b"inflight=0")
+    with running(tmp_path, silent, other, settings=HEALTH_CHECKED) as (program, _, discovery):
         until(lambda: bool(discovery.watches))
         conns = [program.connect() for _ in range(8)]
         for conn in conns:
             conn.sendall(request("pay", b"x", wait_ms=60_000))
-        until(lambda: any("/_load" in message.line for message in held.got))
+        until(lambda: any("/_load" in message.line for message in silent.got))
         for index, state in ((2, "Terminating"), (3, "Gone")):
-            entries = peers.parse_endpoint_list(entry("s-0", held.port, state), index=index, whole=False)
+            entries = peers.parse_endpoint_list(entry("s-0", silent.port, state), index=index, whole=False)
             discovery.push(json.dumps(entries).encode())
             until(lambda: program.counters().get("endpoint_lists", 0) == index - 1)  # noqa: B023
             for number in range(12):
                 assert program.ask(request("pay", b"%d" % number))[1].body == b"%d" % number
-            # What it reads late was written before: probes, and the requests of before the drain.
-            assert {message.body for message in held.got} <= {b"", b"x"}
-        held.let.set()
+            # The silent upstream has received nothing but health checks and requests sent before the drain.
+            assert {message.body for message in silent.got} <= {b"", b"x"}
+        silent.let.set()
         until(lambda: program.counters()["requests_unanswered"] == 0)
         assert program.counters().get("task_faults", 0) == 0
         for conn in conns:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -1,4 +1,4 @@
-"""Daily operation on real sockets: the second address, cordons, settings by SIGHUP, upgrades."""
+"""Tests of daily operation on real sockets: the admin address, cordons, reloads by SIGHUP, stalls."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     until,
 )
 
-# --- the second address -----------------------------------------------------------------------------------
+# --- the admin address ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         (b"what is this\r\n\r\n", 400),
     ],
 )
-def test_operators_calls(tmp_path: Path, raw: bytes, code: int) -> None:
+def test_admin_calls_are_answered_with_the_expected_status(tmp_path: Path, raw: bytes, code: int) -> None:
     with running(tmp_path, echo, **operators(tmp_path)) as (program, _, _d):
         with socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT) as conn:
             conn.sendall(raw)
@@ -75,7 +75,7 @@
         assert program.ask(request())[0] == 200
 
 
-def test_operators_are_answered_beside_callers_that_hold_connections(tmp_path: Path) -> None:
+def test_admin_calls_are_answered_while_other_callers_hold_connections(tmp_path: Path) -> None:
     with running(tmp_path, echo, **operators(tmp_path)) as (program, _, _d), contextlib.ExitStack() as stack:
         for _ in range(60):
             held = stack.enter_context(socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT))
@@ -85,34 +85,35 @@
         assert counters["mgmt_shed"] >= 60 - 24 and counters["mgmt_calls"] >= 60
 
 
-def test_without_a_second_address_nothing_listens_or_is_left(tmp_path: Path) -> None:
+def test_without_an_admin_address_no_admin_server_and_no_state_folder_exist(tmp_path: Path) -> None:
     with running(tmp_path, echo, TMPDIR=str(tmp_path / "none")) as (program, _, _d):
         assert program.ask(request())[0] == 200
         assert "mgmt_calls" not in program.counters() and not (tmp_path / "none").exists()
 
 
-def test_listener_for_operators_is_known_to_the_descriptor_audit(tmp_path: Path) -> None:
-    """Guards against the audit that took it for a stray and shut it after 15 s: later calls went unheard."""
+def test_admin_listener_is_known_to_the_descriptor_audit(tmp_path: Path) -> None:
+    """Guards against a descriptor audit that takes the admin listener for leaked: it closed the listener
+    after 15 s, and no later admin call was answered."""
 
-    async def play() -> None:
-        room = AdminServer(None, Counters("t"))  # type: ignore[arg-type]
+    async def check() -> None:
+        server = AdminServer(None, Counters("t"))  # type: ignore[arg-type]
         address = (OPERATORS, free_port(OPERATORS))
-        await room.listen(address)
-        (found,) = room.descriptors()
-        with socket.socket(fileno=os.dup(found)) as listener:
+        await server.listen(address)
+        (descriptor,) = server.descriptors()
+        with socket.socket(fileno=os.dup(descriptor)) as listener:
             assert listener.getsockname() == address
-        room.close()
+        server.close()
 
-    asyncio.run(play())
+    asyncio.run(check())
 
 
 # --- cordons ----------------------------------------------------------------------------------------------
 
 
-def test_cordoned_node_gets_nothing_until_it_is_given_back(tmp_path: Path) -> None:
+def test_cordoned_upstream_receives_no_requests_until_it_is_uncordoned(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, discovery):
         assert program.call("PUT", "cordon", "s-0") == 200 == program.call("PUT", "cordon", "s-0")
-        had = len(upstreams[0].got)
+        received = len(upstreams[0].got)
         discovery.push(
             json.dumps(
                 parse_endpoint_list(*(entry(f"s-{i}", n.port) for i, n in enumerate(upstreams)), index=2)
@@ -121,12 +122,12 @@
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(20):
             assert program.ask(request())[0] == 200
-        assert len(upstreams[0].got) == had and program.counters()["cordoned"] == 1
+        assert len(upstreams[0].got) == received and program.counters()["cordoned"] == 1
         assert program.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: program.ask(request())[0] == 200 and len(upstreams[0].got) > had)
+        until(lambda: program.ask(request())[0] == 200 and len(upstreams[0].got) > received)
 
 
-def test_cordon_is_taken_and_holds_while_the_second_address_is_flooded(tmp_path: Path) -> None:
+def test_cordon_is_accepted_and_holds_while_the_admin_address_is_flooded(tmp_path: Path) -> None:
     stop = threading.Event()
 
     def flood(raw: bytes) -> None:
@@ -141,51 +142,51 @@
             conn.close()
 
     with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, _):
-        kinds = (b"PUT /admin/cordon HTTP/1.1\r\n", b"\0" * 40_000, b"GET /admin/health HTTP/1.1\r\n\r\n")
-        workers = [threading.Thread(target=flood, args=(raw,)) for raw in kinds]
+        payloads = (b"PUT /admin/cordon HTTP/1.1\r\n", b"\0" * 40_000, b"GET /admin/health HTTP/1.1\r\n\r\n")
+        workers = [threading.Thread(target=flood, args=(raw,)) for raw in payloads]
         for worker in workers:
             worker.start()
         try:
             for _ in range(3):
-                # A caller who is pushed out by the flood asks again: this one until it is answered.
-                until(lambda: _is_stored(program, "cordon"))
-                had = len(upstreams[0].got)
+                # The flood can make the server close a call before it is answered; the call is then repeated.
+                until(lambda: _is_accepted(program, "cordon"))
+                received = len(upstreams[0].got)
                 assert {program.ask(request())[0] for _ in range(20)} == {200}
-                assert len(upstreams[0].got) == had
-                until(lambda: _is_stored(program, "uncordon"))
-                until(lambda n=had: program.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
+                assert len(upstreams[0].got) == received
+                until(lambda: _is_accepted(program, "uncordon"))
+                until(lambda n=received: program.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
         finally:
             stop.set()
             for worker in workers:
                 worker.join()
 
 
-def _is_stored(program: Program, call: str) -> bool:
+def _is_accepted(program: Program, call: str) -> bool:
     with contextlib.suppress(OSError):
         return program.call("PUT", call, "s-0") == 200
     return False
 
 
-def test_cordon_holds_where_nothing_can_be_left(tmp_path: Path) -> None:
+def test_cordon_holds_when_it_cannot_be_stored(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo, **{**operators(tmp_path), "TMPDIR": str(tmp_path / "none")}) as (
         program,
         upstreams,
         _,
     ):
         assert program.call("PUT", "cordon", "s-0") == 503 == program.call("PUT", "cordon", "s-0")
-        had = len(upstreams[0].got)
+        received = len(upstreams[0].got)
         for _ in range(10):
             assert program.ask(request())[0] == 200
-        assert len(upstreams[0].got) == had and program.counters()["state_files_unwritten"] >= 2
+        assert len(upstreams[0].got) == received and program.counters()["state_files_unwritten"] >= 2
         assert program.log.read_text().count("cannot write state for the next process") == 1
-        (tmp_path / "none").mkdir()  # it is tried on until it is stored
+        (tmp_path / "none").mkdir()  # from now on the retries can store the cordon
         until(lambda: program.call("PUT", "cordon", "s-0") == 200)
 
 
-# --- settings by SIGHUP -----------------------------------------------------------------------------------
+# --- reloads by SIGHUP ------------------------------------------------------------------------------------
 
 
-def _data() -> dict[str, Any]:
+def _config() -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -197,74 +198,78 @@
     }
 
 
-def _without(*path: str | int) -> bytes:
-    return _with(None, *path)
+def _config_without(*path: str | int) -> bytes:
+    return _config_with(None, *path)
 
 
-def _with(value: Any, *path: str | int) -> bytes:
-    data: Any = _data()
-    at = data
+def _config_with(value: Any, *path: str | int) -> bytes:
+    data: Any = _config()
+    parent = data
     for key in path[:-1]:
-        at = at[key]
+        parent = parent[key]
     if value is None:
-        del at[path[-1]]
+        del parent[path[-1]]
     else:
-        at[path[-1]] = value
+        parent[path[-1]] = value
     return json.dumps(data).encode()
 
 
-_GOOD = json.dumps(_data()).encode()
-BROKEN = {
+_VALID_CONFIG = json.dumps(_config()).encode()
+BROKEN_CONFIGS = {
     "empty": b"",
-    "cut off": _GOOD[:-40],
-    "a blank": b" \n",
+    "truncated": _VALID_CONFIG[:-40],
+    "only a space": b" \n",
     "a list": b"[]",
-    "noise": b"\xff\xfe\x00",
-    **{f"no {key}": _without(key) for key in _data()},
-    "no classes": _without("settings", "classes"),
-    "no class at all": _with([], "settings", "classes"),
-    "classes of another kind": _with({}, "settings", "classes"),
-    "a class of another kind": _with(["pay"], "settings", "classes"),
-    **{f"class without {key}": _without("settings", "classes", 0, key) for key in CLASSES[1]},
-    "no deadline of the last": _without("settings", "classes", 2, "deadline-s"),
-    "deadline 0": _with(0, "settings", "classes", 1, "deadline-s"),
-    "deadline below 0": _with(-1.5, "settings", "classes", 1, "deadline-s"),
-    "deadline in words": _with("1.5", "settings", "classes", 1, "deadline-s"),
-    "deadline true": _with(True, "settings", "classes", 1, "deadline-s"),
-    "deadline NaN": _GOOD.replace(b'"deadline-s": 1.2', b'"deadline-s": NaN', 1),
-    "deadline beyond numbers": _GOOD.replace(b'"deadline-s": 1.2', b'"deadline-s": 1e999', 1),
-    "aim 0": _with(0.0, "settings", "classes", 0, "objective-s"),
-    "effect unknown": _with("harmless", "settings", "classes", 0, "effect"),
-    "two classes of a name": _with("pay", "settings", "classes", 1, "name"),
-    "attempts 0": _with(0, "settings", "limits", "max-attempts"),
-    "attempts below 0": _with(-2, "settings", "limits", "max-attempts"),
-    "attempts a half": _with(0.5, "settings", "limits", "max-attempts"),
-    "no attempts": _without("settings", "limits", "max-attempts"),
-    "no limits": _without("settings", "limits"),
-    "address of discovery": _with("nowhere", "discovery"),
+    "binary noise": b"\xff\xfe\x00",
+    **{f"no {key}": _config_without(key) for key in _config()},
+    "no classes": _config_without("settings", "classes"),
+    "empty classes": _config_with([], "settings", "classes"),
+    "classes as an object": _config_with({}, "settings", "classes"),
+    "a class as a string": _config_with(["pay"], "settings", "classes"),
+    **{f"class without {key}": _config_without("settings", "classes", 0, key) for key in CLASSES[1]},
+    "last class without a deadline": _config_without("settings", "classes", 2, "deadline-s"),
+    "deadline 0": _config_with(0, "settings", "classes", 1, "deadline-s"),
+    "deadline below 0": _config_with(-1.5, "settings", "classes", 1, "deadline-s"),
+    "deadline as a string": _config_with("1.5", "settings", "classes", 1, "deadline-s"),
+    "deadline true": _config_with(True, "settings", "classes", 1, "deadline-s"),
+    "deadline NaN": _VALID_CONFIG.replace(b'"deadline-s": 1.2', b'"deadline-s": NaN', 1),
+    "deadline overflows": _VALID_CONFIG.replace(b'"deadline-s": 1.2', b'"deadline-s": 1e999', 1),
+    "objective 0": _config_with(0.0, "settings", "classes", 0, "objective-s"),
+    "effect unknown": _config_with("harmless", "settings", "classes", 0, "effect"),
+    "two classes with one name": _config_with("pay", "settings", "classes", 1, "name"),
+    "attempts 0": _config_with(0, "settings", "limits", "max-attempts"),
+    "attempts below 0": _config_with(-2, "settings", "limits", "max-attempts"),
+    "attempts 0.5": _config_with(0.5, "settings", "limits", "max-attempts"),
+    "no attempts": _config_without("settings", "limits", "max-attempts"),
+    "no limits": _config_without("settings", "limits"),
+    "discovery address invalid": _config_with("nowhere", "discovery"),
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_broken_configuration_is_refused_whole(tmp_path: Path, name: str) -> None:
+@pytest.mark.parametrize("name", BROKEN_CONFIGS)
+def test_broken_configuration_is_rejected_as_a_whole(tmp_path: Path, name: str) -> None:
     file = tmp_path / "config.json"
-    file.write_bytes(_GOOD)
-    force = load_config({"BALANCER_CONFIG": str(file)})
-    assert reload_config({"BALANCER_CONFIG": str(file)}, force).settings == force.settings
-    file.write_bytes(BROKEN[name])
+    file.write_bytes(_VALID_CONFIG)
+    current = load_config({"BALANCER_CONFIG": str(file)})
+    assert reload_config({"BALANCER_CONFIG": str(file)}, current).settings == current.settings
+    file.write_bytes(BROKEN_CONFIGS[name])
     with pytest.raises(ConfigError):
-        reload_config({"BALANCER_CONFIG": str(file)}, force)
+        reload_config({"BALANCER_CONFIG": str(file)}, current)
 
 
-def test_new_settings_bind_and_broken_ones_change_nothing_under_load(tmp_path: Path) -> None:
-    failing: set[str] = set()
+def test_valid_settings_apply_and_broken_ones_change_nothing_under_load(tmp_path: Path) -> None:
+    failing_classes: set[str] = set()
 
     def upstream(message: Message) -> bytes:
-        name = message.line.split("/")[1]
-        return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if name in failing else echo(message)
+        class_name = message.line.split("/")[1]
+        return (
+            b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+            if class_name in failing_classes
+            else echo(message)
+        )
 
     with running(tmp_path, upstream, upstream) as (program, upstreams, _):
-        good = json.loads(program.config.read_text())
+        original = json.loads(program.config.read_text())
         stop, codes = threading.Event(), []
 
         def load() -> None:
@@ -273,19 +278,19 @@
 
         worker = threading.Thread(target=load)
         worker.start()
-        for number, data in enumerate(BROKEN.values(), 1):
+        for number, data in enumerate(BROKEN_CONFIGS.values(), 1):
             program.config.write_bytes(data)
             program.process.send_signal(signal.SIGHUP)
             until(partial(program.logged, "the configuration is unchanged", number))
         assert program.ask(request("fresh"))[0] == 400
-        # A class comes, one changes its effect; then one goes, and attempts become one.
+        # One class is added and one changes its effect; later two are removed and max-attempts becomes 1.
         classes = [{**CLASSES[0]}, {**CLASSES[1], "effect": "unsafe"}, CLASSES[2]]
         classes.append({**CLASSES[1], "name": "fresh"})
-        program.config.write_text(json.dumps({**good, "settings": {**SETTINGS, "classes": classes}}))
+        program.config.write_text(json.dumps({**original, "settings": {**SETTINGS, "classes": classes}}))
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
         assert program.ask(request("fresh"))[0] == 200
-        failing.add("view")
+        failing_classes.add("view")
         before = sum(len(n.got) for n in upstreams)
         stop.set()
         worker.join()
@@ -293,54 +298,55 @@
         assert program.ask(request("view"))[0] == 500 and sum(len(n.got) for n in upstreams) == before + 1
         limits = {**SETTINGS["limits"], "max-attempts": 1}
         changed = {**SETTINGS, "classes": classes[2:], "limits": limits}
-        program.config.write_text(json.dumps({**good, "settings": changed}))
+        program.config.write_text(json.dumps({**original, "settings": changed}))
         program.process.send_signal(signal.SIGHUP)
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters()["reloads"] >= 2)
         assert program.ask(request("view"))[0] == 400
-        failing.add("fresh")
+        failing_classes.add("fresh")
         before = sum(len(n.got) for n in upstreams)
         assert program.ask(request("fresh"))[0] != 200 and sum(len(n.got) for n in upstreams) == before + 1
         assert codes and set(codes) == {200}
 
 
-def test_open_request_ends_under_the_settings_it_arrived_under(tmp_path: Path) -> None:
-    held, go = threading.Event(), threading.Event()
+def test_open_request_keeps_the_settings_it_arrived_under(tmp_path: Path) -> None:
+    arrived, release = threading.Event(), threading.Event()
 
     def upstream(message: Message) -> bytes | None:
-        if not held.is_set():
-            held.set()
-            assert go.wait(WAIT)
+        if not arrived.is_set():
+            arrived.set()
+            assert release.wait(WAIT)
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         return echo(message)
 
     with running(tmp_path, upstream, upstream) as (program, _, _d), program.connect() as conn:
-        good = json.loads(program.config.read_text())
+        original = json.loads(program.config.read_text())
         conn.sendall(request("view"))
-        assert held.wait(WAIT)
+        assert arrived.wait(WAIT)
         changed = {**SETTINGS, "classes": CLASSES[:1], "limits": {**SETTINGS["limits"], "max-attempts": 1}}
-        program.config.write_text(json.dumps({**good, "settings": changed}))
+        program.config.write_text(json.dumps({**original, "settings": changed}))
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
-        go.set()
-        assert read_answer(conn.makefile("rb"))[0] == 200  # safe and tried again, as when it came
+        release.set()
+        assert read_answer(conn.makefile("rb"))[0] == 200  # still safe, so it is retried
         assert program.ask(request("view"))[0] == 400
         assert program.counters()["balancer_faults"] == 0
 
 
-def test_answer_that_came_while_the_process_stood_still_is_served(tmp_path: Path) -> None:
-    """Guards against attempts that time out because their own sidecar did not look: the answer is here."""
-    go = threading.Event()
+def test_answer_that_arrived_while_the_process_was_stopped_is_served(tmp_path: Path) -> None:
+    """Guards against an attempt that times out although its answer waits unread in the socket: the sidecar
+    itself was stopped."""
+    release = threading.Event()
 
     def upstream(message: Message) -> bytes:
-        assert go.wait(WAIT)
+        assert release.wait(WAIT)
         return echo(message)
 
     with running(tmp_path, upstream) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request("pay", b"x"))
         until(lambda: len(upstreams[0].got) == 1)
         program.process.send_signal(signal.SIGSTOP)
-        go.set()
-        time.sleep(1.0)  # beyond the class's aim
+        release.set()
+        time.sleep(1.0)  # longer than the class's latency objective
         program.process.send_signal(signal.SIGCONT)
         assert read_answer(conn.makefile("rb"))[0] == 200
