--- a/tests/test_cycles.py
+++ b/tests/test_cycles.py
@@ -1,4 +1,4 @@
-"""Endpoints that come and go for hours do not make the state grow. The clock is passed in."""
+"""Test that endpoints replaced over hours of simulated time do not make a coordinator's state grow."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 
 
 def count_objects(root: object) -> int:
-    """How many objects of its own ``root`` keeps alive."""
+    """Count the objects reachable from ``root``, without types, modules and functions."""
     seen = {id(root)}
-    left: list[object] = [root]
-    while left:
-        one = left.pop()
-        if isinstance(one, type) or type(one).__name__ in (
+    pending: list[object] = [root]
+    while pending:
+        current = pending.pop()
+        if isinstance(current, type) or type(current).__name__ in (
             "module",
             "function",
             "builtin_function_or_method",
         ):
             continue
-        for other in gc.get_referents(one):
-            module = isinstance(other, dict) and "__name__" in other
-            if id(other) not in seen and not module:
+        for other in gc.get_referents(current):
+            is_module_namespace = isinstance(other, dict) and "__name__" in other
+            if id(other) not in seen and not is_module_namespace:
                 seen.add(id(other))
-                left.append(other)
+                pending.append(other)
     return len(seen)
 
 
 def test_replaced_upstreams_do_not_make_the_state_grow() -> None:
-    """Every cycle replaces each of 30 upstreams by one of a new name, in a pod of a new number, at an address
-    that another had; requests are served, fail, time out and are left meanwhile, and the watch breaks."""
+    """Guards against state kept for upstreams that are gone.
+
+    Each cycle replaces all 30 upstreams by ones with new names and replica groups at the old addresses.
+    Meanwhile requests are served, fail, time out and lose their client, and the watch breaks."""
     random, now = Random(7), 1000.0
     coordinator = RequestCoordinator(make_settings(polls_membership=True, key_affinity=True), 7, 0.0)
     listed: deque[Endpoint] = deque()
@@ -63,7 +65,7 @@
             )
             attempts = coordinator.pick(now, request).attempts
             while attempts:
-                ending = random.choice(
+                outcome = random.choice(
                     (
                         AttemptOutcome.OK,
                         AttemptOutcome.ERROR,
@@ -72,7 +74,7 @@
                     )
                 )
                 attempts = coordinator.report(
-                    now, attempts[0], ending, LoadReport(rate=9.0, utilisation=0.5)
+                    now, attempts[0], outcome, LoadReport(rate=9.0, utilisation=0.5)
                 ).attempts
             if requests % 7 == 0:
                 coordinator.client_disconnected(now, request.id)
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -1,5 +1,5 @@
-"""Trouble elsewhere frees nothing: while upstreams, other clients or the system fail, steadily and through a
-whole shutdown, each request of a sound client has one whole final answer in time."""
+"""Tests that disturbances leave well-behaved clients unharmed: each of their requests gets one complete final
+answer in time, while upstreams, other clients or the system fail steadily and during the whole shutdown."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from tests.test_shutdown import STARVED_S, Witness, deadlines
 
 DEADLINE_S = 0.5
-SLACK_S = 0.2  # for both sides' threads; a play in which the machine stood still does not count
-SOUND_CLIENTS, ANSWERS, PLAYS = 4, 12, 10
+SCHEDULING_SLACK_S = 0.2  # for the threads of both sides; a run in which the machine stalled does not count
+CLIENTS, ANSWERS, MAX_RUNS = 4, 12, 10
 SOCKETS = 64
 
 
-class SoundClient:
-    """Sends one request after the other, on a new connection after each that was closed."""
+class WellBehavedClient:
+    """Sends one request after another, and reconnects whenever its connection was closed."""
 
     def __init__(self, program: Program, class_name: str) -> None:
         self._program, self._class = program, class_name
         self.answered: set[str] = set()
-        self.lost: list[str] = []  # requests on connections that were closed in place of an answer
-        self.wrong: list[object] = []
+        self.lost: list[str] = []  # requests whose connection was closed without an answer
+        self.violations: list[object] = []
         self.slowest = 0.0
         self._ended = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -42,7 +42,7 @@
         self._ended.set()
         self._thread.join(WAIT)
         if self._thread.is_alive():
-            self.wrong.append("waits for an answer still")
+            self.violations.append("still waiting for an answer")
 
     def _run(self) -> None:
         while not self._ended.is_set():
@@ -52,22 +52,22 @@
             time.sleep(0.002)
 
     def _ask(self, conn: socket.socket, file: Any) -> bool:
-        """One request; whether its connection is good for more."""
+        """Send one request; return whether its connection can be used for another."""
         message = request(self._class, b"x", wait_ms=int(DEADLINE_S * 1000))
         name = message.partition(b"Request-Id: ")[2][:16].decode()
-        began = time.monotonic()
+        sent_at = time.monotonic()
         try:
             conn.sendall(message)
             code, answer = read_answer(file)
         except TimeoutError:
-            self.wrong.append(f"{name}: no answer")
+            self.violations.append(f"{name}: no answer")
             return False
         except ConnectionError:
             self.lost.append(name)
             return False
-        self.slowest = max(self.slowest, time.monotonic() - began)
+        self.slowest = max(self.slowest, time.monotonic() - sent_at)
         if code not in (200, 500, 503) or len(answer.body) != int(answer.headers["content-length"]):
-            self.wrong.append((name, code, answer))
+            self.violations.append((name, code, answer))
         self.answered.add(name)
         return answer.headers.get("connection") != "close"
 
@@ -75,26 +75,26 @@
 # --- upstreams ----------------------------------------------------------------------------------------------
 
 
-def says(data: bytes | None) -> Callable[[], Peer]:
+def answering(data: bytes | None) -> Callable[[], Peer]:
     return lambda: Peer(lambda _: data)
 
 
-def endless(first: bytes, piece: bytes, pause: float = 0.0) -> Callable[[], Peer]:
-    """An upstream that begins each answer and never ends it."""
+def endless(first: bytes, chunk: bytes, pause: float = 0.0) -> Callable[[], Peer]:
+    """Return a factory of upstreams that begin each answer and never end it."""
 
     def answer(conn: socket.socket, file: Any) -> None:
         while file.readline().strip():
             pass
         conn.sendall(first)
         while True:
-            conn.sendall(piece)
+            conn.sendall(chunk)
             time.sleep(pause)
 
     return lambda: Raw(answer)
 
 
-def vanishing() -> Peer:
-    """Serves a few requests, and is gone."""
+def stopping() -> Peer:
+    """Return an upstream that stops listening after a few requests."""
 
     def serve(message: Message) -> bytes | None:
         if len(peer.got) < 8:
@@ -118,23 +118,23 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 UPSTREAMS: dict[str, Callable[[], Peer]] = {
     "hang": silent,
-    "vanish": vanishing,
-    "close": says(None),
-    "break off": says(b"!" + OK + b"Content-Length: 100\r\n\r\nhalf"),
-    "garbage": says(b"!\x00\xff\r\n\r\n"),
-    "two answers": says(ok(b"one") + ok(b"two")),
+    "stop listening": stopping,
+    "close": answering(None),
+    "truncated answer": answering(b"!" + OK + b"Content-Length: 100\r\n\r\nhalf"),
+    "garbage": answering(b"!\x00\xff\r\n\r\n"),
+    "two answers": answering(ok(b"one") + ok(b"two")),
     "endless head": endless(OK, b"X: y\r\n" * 100),
-    "endless interim answers": endless(b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 100),
-    "drip": endless(OK + b"Content-Length: 1000\r\n\r\n", b"x", 0.02),
+    "endless interim responses": endless(b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 100),
+    "slow body": endless(OK + b"Content-Length: 1000\r\n\r\n", b"x", 0.02),
 }
 
 
 # --- other clients, and the system --------------------------------------------------------------------------
 
 
-def flood(program: Program, ended: threading.Event) -> None:
-    """Connections over and over that say nothing, send half, noise, or too much at once, and stay."""
-    kinds = [b"", request("view")[:-3], b"noise\r\n\r\n", request("view") * 12, request("view")]
+def flood_with_connections(program: Program, ended: threading.Event) -> None:
+    """Keep opening connections that stay open and send nothing, half a request, noise or a long pipeline."""
+    payloads = [b"", request("view")[:-3], b"noise\r\n\r\n", request("view") * 12, request("view")]
     conns: list[socket.socket] = []
     for number in range(10**6):
         if ended.is_set():
@@ -142,7 +142,7 @@
         with contextlib.suppress(OSError):
             conn = program.connect()
             conns.append(conn)
-            conn.sendall(kinds[number % len(kinds)])
+            conn.sendall(payloads[number % len(payloads)])
         if len(conns) > 200:
             conns.pop(0).close()
         time.sleep(0.003)
@@ -150,69 +150,69 @@
         conn.close()
 
 
-def no_descriptors(program: Program, _: threading.Event) -> None:
+def exhaust_descriptors(program: Program, _: threading.Event) -> None:
     soft = len(os.listdir(f"/proc/{program.process.pid}/fd")) + 1
     resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
 
 
-def nothing(_program: Program, _: threading.Event) -> None:
+def no_disturbance(_program: Program, _: threading.Event) -> None:
     pass
 
 
-Trouble = Callable[[Program, threading.Event], None]
-CASES: list[tuple[int, str, Trouble]] = [  # sound upstreams beside two of a kind
-    *((1, name, nothing) for name in UPSTREAMS),
-    (0, "hang", nothing),
-    (0, "vanish", nothing),
-    (1, "sound", flood),
-    (1, "hang", flood),
-    (1, "sound", no_descriptors),
-    (1, "close", no_descriptors),
-    (1, "hang", no_descriptors),
+Disturbance = Callable[[Program, threading.Event], None]
+CASES: list[tuple[int, str, Disturbance]] = [  # number of healthy upstreams, and the kind of the two others
+    *((1, name, no_disturbance) for name in UPSTREAMS),
+    (0, "hang", no_disturbance),
+    (0, "stop listening", no_disturbance),
+    (1, "healthy", flood_with_connections),
+    (1, "hang", flood_with_connections),
+    (1, "healthy", exhaust_descriptors),
+    (1, "close", exhaust_descriptors),
+    (1, "hang", exhaust_descriptors),
 ]
 
 
-def play(tmp: Path, sound: int, upstream: str, trouble: Trouble) -> tuple[bool, list[object]]:
-    """Trouble, then a shutdown within it. Whether the machine kept step, and what was wrong."""
-    bad = UPSTREAMS.get(upstream, lambda: Peer(echo))
-    upstreams: list[Any] = [echo] * sound + [bad(), bad()]
+def run_once(tmp: Path, healthy: int, upstream: str, disturbance: Disturbance) -> tuple[bool, list[object]]:
+    """Shut the program down during a disturbance; return whether the machine kept pace, and violations."""
+    make_upstream = UPSTREAMS.get(upstream, lambda: Peer(echo))
+    upstreams: list[Any] = [echo] * healthy + [make_upstream(), make_upstream()]
     with running(tmp, *upstreams, sockets=SOCKETS, settings=deadlines(DEADLINE_S)) as (program, peers, _):
-        clients = [SoundClient(program, ("pay", "view")[n % 2]) for n in range(SOUND_CLIENTS)]
+        clients = [WellBehavedClient(program, ("pay", "view")[n % 2]) for n in range(CLIENTS)]
         until(lambda: all(client.answered for client in clients))
         witness, ended = Witness(), threading.Event()
-        other = threading.Thread(target=trouble, args=(program, ended), daemon=True)
-        other.start()
-        goals = [len(client.answered) + ANSWERS for client in clients]
-        until(lambda: all(len(c.answered) >= goal for c, goal in zip(clients, goals, strict=True)))
+        disturber = threading.Thread(target=disturbance, args=(program, ended), daemon=True)
+        disturber.start()
+        targets = [len(client.answered) + ANSWERS for client in clients]
+        until(lambda: all(len(c.answered) >= target for c, target in zip(clients, targets, strict=True)))
         lost = sum(len(client.lost) for client in clients)
         program.process.send_signal(signal.SIGTERM)
         code = program.process.wait(WAIT)
         for client in clients:
             client.end()
         ended.set()
-        other.join(WAIT)
-        worst = witness.end()
-        wrong: list[object] = [fault for client in clients for fault in client.wrong]
-        seen = [message.headers["request-id"] for peer in peers for message in peer.got]
-        cut = {name for client in clients for name in client.lost} & set(seen)
-        wrong += [f"forwarded, and not answered: {name}" for name in cut]
-        if lost and trouble is nothing:
-            wrong.append(f"{lost} requests lost before the shutdown")
+        disturber.join(WAIT)
+        longest_stall_s = witness.end()
+        violations: list[object] = [fault for client in clients for fault in client.violations]
+        forwarded = [message.headers["request-id"] for peer in peers for message in peer.got]
+        unanswered = {name for client in clients for name in client.lost} & set(forwarded)
+        violations += [f"forwarded but not answered: {name}" for name in unanswered]
+        if lost and disturbance is no_disturbance:
+            violations.append(f"{lost} requests lost before the shutdown")
         if code != 0:
-            wrong.append(f"ended with {code}")
+            violations.append(f"exit status {code}")
         slowest = max(client.slowest for client in clients)
-        if slowest > DEADLINE_S + SLACK_S:
-            wrong.append(f"an answer after {slowest:.3f} s")
-    return worst < STARVED_S, wrong
+        if slowest > DEADLINE_S + SCHEDULING_SLACK_S:
+            violations.append(f"an answer after {slowest:.3f} s")
+    return longest_stall_s < STARVED_S, violations
 
 
-@pytest.mark.parametrize(("sound", "upstream", "trouble"), CASES)
-def test_trouble_elsewhere_frees_no_request_from_its_answer(
-    tmp_path: Path, sound: int, upstream: str, trouble: Trouble
+@pytest.mark.parametrize(("healthy", "upstream", "disturbance"), CASES)
+def test_disturbances_keep_no_request_from_its_answer(
+    tmp_path: Path, healthy: int, upstream: str, disturbance: Disturbance
 ) -> None:
-    for _ in range(PLAYS):
-        kept_step, wrong = play(tmp_path, sound, upstream, trouble)
-        if kept_step:
-            assert wrong == []
+    for _ in range(MAX_RUNS):
+        machine_kept_pace, violations = run_once(tmp_path, healthy, upstream, disturbance)
+        if machine_kept_pace:
+            assert violations == []
             return
-    pytest.fail("the machine stood still in each play: this shows nothing")
+    pytest.fail("the machine stalled in every run, so that none of them counts")
