--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -17,7 +17,7 @@
 
 def run_seed(seed: int, seconds: float, folder: Path) -> tuple[History, list[Violation]]:
     """Run one seed and check its history against the rules."""
-    history = asyncio.run(Run(plan(seed, seconds), folder).run())
+    history = asyncio.run(Run(plan(seed, seconds), folder).execute())
     return history, find_violations(history)
 
 
@@ -33,7 +33,7 @@
     )
     rules = Counter(violation.rule for violation in violations)
     for rule, count in rules.items():
-        evidence = min((violation.evidence for violation in violations if violation.rule == rule), key=len)
+        evidence = min((b.evidence for b in violations if b.rule == rule), key=len)
         line += f"\n  {rule} x{count}: {evidence[:1500]}"
     return line
 
--- a/tests/soak/history.py
+++ b/tests/soak/history.py
@@ -26,7 +26,7 @@
     sent_at: float
     timeout_s: float
     answers: list[Answer] = field(default_factory=list)
-    pipeline_due_at: float = -math.inf  # when the answers ahead of it in the pipeline were due
+    pipeline_due_at: float = -math.inf  # when those ahead in the pipeline, answered first, are due
     closed_at: float = math.inf  # when its connection ended without an answer
     client_timed_out: bool = False  # no answer long after its timeout, connection still open
     after_connection_close: bool = False  # the previous answer carried "Connection: close"
@@ -97,12 +97,8 @@
     starts: list[ProcessStart] = field(default_factory=list)
     idle_usage: list[IdleUsage] = field(default_factory=list)
     crashes: list[float] = field(default_factory=list)  # when a process got SIGKILL
-    outages: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # spans without a process to read requests
-    connection_floods: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # idle clients used up descriptors
-    stalls: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # spans in which the harness itself stalled
+    # Spans, from and to, in which:
+    outages: list[tuple[float, float]] = field(default_factory=list)  # no process read requests
+    # idle client connections used up descriptors
+    connection_floods: list[tuple[float, float]] = field(default_factory=list)
+    stalls: list[tuple[float, float]] = field(default_factory=list)  # the harness itself stalled
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -131,8 +131,8 @@
             if arrival.upstream != removal.upstream or not allowed_until < arrival.begun_at < removal.until:
                 continue
             if any(
-                start.started_at < arrival.begun_at < start.ready_at + FIRST_LIST_S
-                for start in history.starts
+                process_start.started_at < arrival.begun_at < process_start.ready_at + FIRST_LIST_S
+                for process_start in history.starts
             ):
                 continue  # a starting process uses its last known list until discovery sends the current one
             if arrival.begun_at > allowed_until + _stalled_s(history, removal.at, arrival.begun_at):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -61,7 +61,7 @@
         self._reserved: set[int] = set()  # upstreams that are draining, cordoned or faulty
         self._processes: ProcessGroup  # set once the peers listen
 
-    async def run(self) -> History:
+    async def execute(self) -> History:
         """Carry out the schedule and return the history."""
         stall_monitor = StallMonitor(self.history)
         stall_monitor.start()
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -77,7 +77,7 @@
     shares_listener: bool
     hedges: bool
     clients: int
-    process_faults: tuple[dict[str, str], ...]  # the environment variables of each process, in start order
+    process_faults: tuple[dict[str, str], ...]  # environment variables of each process, in start order
     steps: tuple[Step, ...]
 
 
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -175,7 +175,7 @@
         (RECORD,), EndpointList(7, True, ENDPOINTS), learned_state
     )
     old = snapshot.encode(HERE, [CordonRecord("a", False, NOW - 700.0), CordonRecord("b", True, NOW - 700.0)])
-    assert [record.upstream for record in snapshot.decode(old, HERE).records] == ["b"]
+    assert [each.upstream for each in snapshot.decode(old, HERE).records] == ["b"]
 
 
 def _forged(body: bytes, version: int = 1) -> bytes:
@@ -254,8 +254,8 @@
         b'{"marks":[],"machines":[{"name":"a","address":"h:1","status":"Ready"}],' + _LIST_END_JSON
     )
     assert snapshot.decode(listed, HERE).known == EndpointList(1, True, (Endpoint("a", "h", 1),))
-    records = snapshot.decode(_forged(_RECORD_JSON % b"1"), HERE).records
-    assert records == (CordonRecord("a", True, 1.0, "x", math.inf, 1_000_000),)
+    decoded = snapshot.decode(_forged(_RECORD_JSON % b"1"), HERE).records
+    assert decoded == (CordonRecord("a", True, 1.0, "x", math.inf, 1_000_000),)
 
 
 # --- learned state ----------------------------------------------------------------------------------------
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -183,7 +183,7 @@
         disturber = threading.Thread(target=disturbance, args=(program, ended), daemon=True)
         disturber.start()
         targets = [len(client.answered) + ANSWERS for client in clients]
-        until(lambda: all(len(c.answered) >= target for c, target in zip(clients, targets, strict=True)))
+        until(lambda: all(len(c.answered) >= expected for c, expected in zip(clients, targets, strict=True)))
         lost = sum(len(client.lost) for client in clients)
         program.process.send_signal(signal.SIGTERM)
         code = program.process.wait(WAIT)
