--- a/indigokeel/endpoints/__init__.py
+++ b/indigokeel/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list, and what operators and start times add to it. No I/O."""
+"""The endpoint list, the cordons that operators set over it, and the start times of upstreams. No I/O."""
--- a/indigokeel/endpoints/cordons.py
+++ b/indigokeel/endpoints/cordons.py
@@ -1,10 +1,11 @@
 """Cordons: the upstreams that operators took out of service, as a layer over the endpoint list. No I/O.
 
-Each upstream has at most one record: cordoned, or the cordon lifted. The record with the higher sequence
-number wins, so that processes of one sidecar that each receive some of the calls agree on all of them once
-they have exchanged their records, in any order (a last-writer-wins map). A new record's number is one more
-than the highest seen (a Lamport clock), so that no clock decides which of two calls was later. Times are
-those of the monotonic clock, which the processes of one machine share.
+Each upstream has at most one record, which states that it was cordoned or that its cordon was lifted. Several
+processes of one sidecar may each receive some of the operators' calls. The record with the higher sequence
+number wins (a last-writer-wins map), so the processes agree once they have exchanged their records, in any
+order. The sequence number of a new record is one more than the highest seen (a Lamport clock), so the order
+of two calls does not depend on a clock. Times are those of the monotonic clock, which the processes of one
+machine share.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from indigokeel.balancing.events import EndpointState
 from indigokeel.endpoints.endpoint_list import Endpoint
 
-_MAX_RECORDS = 4096  # far more than a fleet has upstreams, so that only a fault reaches it
+_MAX_RECORDS = 4096  # far more than a fleet has upstreams, so only a fault can reach the limit
 
 
 @dataclass(frozen=True, slots=True)
 class CordonRecord:
-    """The latest call on one upstream."""
+    """The latest cordon or uncordon call for one upstream."""
 
     upstream: str
-    cordoned: bool  # else the cordon was lifted
-    called_at: float  # clock time
+    cordoned: bool  # False: the cordon was lifted
+    called_at: float  # clock time of the call
     called_by: str = "operator"
-    expires_at: float = math.inf  # clock time at which a cordon ends without a call
-    sequence: int = 0  # higher than that of each record that was known when this one was made
+    expires_at: float = math.inf  # clock time at which the cordon ends without an uncordon call
+    sequence: int = 0  # higher than that of every record known when this one was created
 
     def is_active(self, now: float) -> bool:
         """Return True if the upstream is cordoned now."""
@@ -36,18 +37,18 @@
 
 
 class Cordons:
-    """The records of one sidecar."""
+    """The cordon records of one sidecar."""
 
     def __init__(self) -> None:
-        """Start without a record."""
+        """Create an empty set of records."""
         self._records: dict[str, CordonRecord] = {}
         self._highest_sequence = 0
-        self.revision = 0  # changes with each new record
+        self.revision = 0  # increases with each change of a record
 
     def cordon(
         self, upstream: str, now: float, called_by: str = "operator", expires_at: float = math.inf
     ) -> bool:
-        """Cordon an upstream; return False, and change nothing, if it is cordoned already."""
+        """Cordon an upstream; return False and change nothing if it is already cordoned."""
         if self.is_active(upstream, now):
             return False
         self._set(CordonRecord(upstream, True, now, called_by, expires_at, self._highest_sequence + 1))
@@ -66,15 +67,16 @@
         return record is not None and record.is_active(now)
 
     def apply(self, endpoint: Endpoint, now: float) -> Endpoint:
-        """Return an endpoint as the balancer is to see it: a cordoned one drains, whatever the list says."""
+        """Return an endpoint as the balancer has to see it: draining if cordoned, whatever its status."""
         if endpoint.state is EndpointState.GONE or not self.is_active(endpoint.name, now):
             return endpoint
         return replace(endpoint, state=EndpointState.DRAINING)
 
     def lifted_at(self, upstream: str, now: float) -> float:
-        """Return the clock time at which a cordon was lifted or expired, 0 if none was or it is active.
+        """Return the clock time at which a cordon was lifted or expired; 0 if there was none or it is active.
 
-        The upstream counts as started then: most likely it was restarted, and discovery lists that later.
+        The upstream counts as started at that time: it was most likely restarted while cordoned, and
+        discovery lists the new start time only later.
         """
         record = self._records.get(upstream)
         if record is None or record.is_active(now):
@@ -82,7 +84,7 @@
         return record.expires_at if record.cordoned else record.called_at
 
     def next_expiry(self, now: float) -> float:
-        """Return the clock time at which the next cordon expires, or infinity."""
+        """Return the clock time at which the next cordon expires; infinity if none does."""
         active = (record.expires_at for record in self._records.values() if record.is_active(now))
         return min(active, default=math.inf)
 
@@ -92,7 +94,7 @@
         return sorted(active, key=lambda record: (record.called_at, record.sequence))
 
     def records(self) -> list[CordonRecord]:
-        """Return all records, for another process."""
+        """Return all records, to be passed to another process."""
         return list(self._records.values())
 
     def merge(self, records: Iterable[CordonRecord]) -> list[str]:
@@ -106,10 +108,11 @@
         return changed
 
     def has_newer_than(self, records: Iterable[CordonRecord]) -> bool:
-        """Return True if a record here is missing among these, or newer than theirs."""
-        theirs = {record.upstream: record for record in records}
+        """Return True if any record here is missing from ``records`` or newer than the one there."""
+        other_records = {record.upstream: record for record in records}
         return any(
-            record.upstream not in theirs or _precedence(theirs[record.upstream]) < _precedence(record)
+            record.upstream not in other_records
+            or _precedence(other_records[record.upstream]) < _precedence(record)
             for record in self._records.values()
         )
 
@@ -119,14 +122,14 @@
         self._highest_sequence = max(self._highest_sequence, record.sequence)
         self.revision += 1
         if len(self._records) > _MAX_RECORDS:
-            del self._records[self._least_needed()]
+            del self._records[self._next_to_evict()]
 
-    def _least_needed(self) -> str:
-        """Return the upstream whose record is dropped first: the oldest one of a lifted cordon."""
+    def _next_to_evict(self) -> str:
+        """Return the upstream whose record is evicted next: the oldest lifted cordon, else the oldest."""
         lifted = (name for name, record in self._records.items() if not record.cordoned)
         return next(lifted, next(iter(self._records)))
 
 
 def _precedence(record: CordonRecord) -> tuple[int, bool]:
-    """Order records: the later call wins, and of two that were made independently, the cordon."""
+    """Return the sort key of a record: the later call wins; of two concurrent calls, the cordon wins."""
     return record.sequence, record.cordoned
--- a/indigokeel/endpoints/endpoint_list.py
+++ b/indigokeel/endpoints/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: what discovery says of the upstreams, decoded once into plain values. No I/O."""
+"""The endpoint list that discovery sends, decoded into plain values. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _STATUS_OF_STATE = {state: status for status, state in _STATES.items()}
 _MS_PER_S = 1000.0
 _MAX_PORT = 65535
-_MAX_QUOTED_CHARACTERS = 100  # of an invalid address, in an error's text
+_MAX_QUOTED_CHARACTERS = 100  # of an invalid address, in an error message
 
 
 class EndpointListError(ValueError):
@@ -28,7 +28,7 @@
 
 
 class NotJSONError(EndpointListError):
-    """A message that is no JSON, or not yet complete."""
+    """A message that is not valid JSON, or is incomplete."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,12 +43,12 @@
     replica_group: int = -1
     state: EndpointState = EndpointState.SERVING
     weight: float = 1.0
-    since: float = 0.0  # Unix seconds of its last start; 0: long ago
+    since: float = 0.0  # Unix time of its last start, in seconds; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A snapshot of all endpoints, or the ones that changed since the version before."""
+    """A snapshot of all endpoints, or an update with those that changed since the previous version."""
 
     version: int
     is_snapshot: bool
@@ -65,7 +65,7 @@
 
 
 def decode(message: bytes | bytearray | memoryview) -> EndpointList:
-    """Decode one message of discovery; raise EndpointListError if it is invalid."""
+    """Decode one discovery message; raise EndpointListError if it is invalid."""
     try:
         data = orjson.loads(message)
     except orjson.JSONDecodeError as error:
@@ -87,12 +87,12 @@
 
 def _parse_endpoint(item: dict[str, Any]) -> Endpoint:
     state = _STATES[item["status"]]
-    # Discovery may know no address of an endpoint that is gone.
+    # Discovery may not know the address of an endpoint that is gone.
     host, port = ("", 0) if state is EndpointState.GONE else parse_address(item["address"])
     weight = float(item.get("weight", 1.0))
     since = float(item.get("since_ms", 0)) / _MS_PER_S
     if not isinstance(item["name"], str) or not math.isfinite(weight) or not math.isfinite(since):
-        raise ValueError("an entry of a wrong shape")
+        raise ValueError("invalid name, weight or since_ms of an endpoint")
     return Endpoint(
         name=item["name"],
         host=host,
@@ -107,7 +107,7 @@
 
 
 def encode_endpoint(endpoint: Endpoint) -> dict[str, Any]:
-    """Return an endpoint as discovery writes it; ``parse_endpoint_list`` reads the same endpoint from it."""
+    """Return an endpoint in the format of discovery, which ``parse_endpoint_list`` decodes."""
     return {
         "name": endpoint.name,
         "address": f"{endpoint.host}:{endpoint.port}",
--- a/indigokeel/hot_restart/__init__.py
+++ b/indigokeel/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""The state that one process of a sidecar leaves for the next."""
+"""The state that one process of a sidecar stores for the next one."""
--- a/indigokeel/hot_restart/learned_state.py
+++ b/indigokeel/hot_restart/learned_state.py
@@ -1,7 +1,7 @@
-"""What a balancer has learned, as plain JSON values and back, for the next process of the same sidecar.
+"""Converts what a balancer has learned to JSON values and back, for the next process of the same sidecar.
 
 Times are those of the monotonic clock, which both processes share. A process of an older version stored Unix
-seconds; the snapshot then states, under ``OFFSET``, what has to be added to each.
+times in seconds; the state snapshot then holds, under ``OFFSET``, the offset to be added to each of them.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from indigokeel.balancing.statistics import ShrinkageEstimate
 from indigokeel.balancing.upstream_state import MIN_AVERAGED_REPORTS, UpstreamState
 
-OFFSET = "clock_offset"  # s
+OFFSET = "clock_offset"  # in seconds
 
-MAX_UPSTREAMS = 300  # a larger fleet is used only in part, and little is learned of each upstream
+MAX_UPSTREAMS = 300  # of a larger fleet a sidecar uses a subset only, and learns little about each upstream
 MAX_KEYS = 200
 MAX_RESTORED_REPORTS = 2 * MIN_AVERAGED_REPORTS
-MAX_EJECTION_S = 60.0  # longer ejections are not believed
-STORED_UPSTREAM_VALUES = 4  # besides the start time
-MAX_START_DIFFERENCE_S = 0.001  # between stored and listed start times of one start
+MAX_EJECTION_S = 60.0  # a longer stored ejection is not restored in full
+STORED_UPSTREAM_VALUES = 4  # in addition to the start time
+MAX_START_DIFFERENCE_S = 0.001  # between the stored and the listed time of the same start
 
 MAX_CLOCK_S = 1e12
 MIN_LATENCY_S = 1e-6
@@ -35,7 +35,7 @@
 
 
 class LearnedStateError(ValueError):
-    """Stored values that no process can have learned."""
+    """Stored values that are invalid or out of range."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 
     @staticmethod
     def capture(statistics: ClassStatistics) -> ClassRecord:
-        """Return what was learned of a class."""
+        """Return what was learned about a class."""
         return ClassRecord(statistics.usual_latency_s, statistics.usual_hint_s)
 
     @staticmethod
@@ -60,7 +60,7 @@
         return [self.latency_s, self.hint_s]
 
     def apply(self, statistics: ClassStatistics) -> None:
-        """Restore what was learned of a class."""
+        """Restore what was learned about a class."""
         statistics.usual_latency_s = self.latency_s
         statistics.usual_hint_s = self.hint_s
 
@@ -103,7 +103,7 @@
 
     @staticmethod
     def capture(upstream: UpstreamState, now: float) -> ReportsRecord | None:
-        """Return the means at clock time ``now``, or None without a report."""
+        """Return the means at clock time ``now``, or None if there are no reports."""
         means = upstream.reports.means(now)
         if means is None:
             return None
@@ -136,7 +136,7 @@
 
     @staticmethod
     def capture(upstream: UpstreamState) -> LatencyRecord | None:
-        """Return the sums, or None without an observation."""
+        """Return the sums, or None if there are no observations."""
         log_sum, at = upstream.latency_log_sum.state()
         weight, _ = upstream.latency_weight.state()
         return LatencyRecord(log_sum, weight, at) if weight else None
@@ -164,14 +164,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionRecord:
-    """The ejection of an upstream: its end, and the length of the next one."""
+    """The ejection of an upstream: its end, and the duration of the next one."""
 
     until: float
     next_s: float
 
     @staticmethod
     def capture(upstream: UpstreamState, now: float) -> EjectionRecord | None:
-        """Return the ejection at clock time ``now``, or None without one."""
+        """Return the ejection at clock time ``now``, or None if the upstream is not ejected."""
         if upstream.ejected_until <= now:
             return None
         return EjectionRecord(upstream.ejected_until, upstream.ejection_time_s)
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """All that is stored of one upstream."""
+    """All that is stored about one upstream."""
 
     started: float
     capacity: EstimateRecord
@@ -205,7 +205,7 @@
 
     @staticmethod
     def capture(upstream: UpstreamState, now: float) -> UpstreamRecord:
-        """Return what is known of an upstream at clock time ``now``."""
+        """Return what is known about an upstream at clock time ``now``."""
         return UpstreamRecord(
             upstream.member.started,
             EstimateRecord.capture(upstream.log_capacity),
@@ -237,7 +237,7 @@
         ]
 
     def apply(self, upstream: UpstreamState, now: float) -> None:
-        """Restore what was known of an upstream."""
+        """Restore what was known about an upstream."""
         self.capacity.apply(upstream.log_capacity)
         if self.reports is not None:
             self.reports.apply(upstream, now)
@@ -249,7 +249,7 @@
 
 
 def collect(balancer: Balancer, now: float) -> dict[str, Any] | None:
-    """Return what is known at clock time ``now``, in its stored form; None on a fleet too large for it."""
+    """Return what is known at clock time ``now``, in its stored form; None if the fleet is too large."""
     figures = balancer.learned_figures()
     if len(figures.upstreams) > MAX_UPSTREAMS:
         return None
@@ -270,7 +270,7 @@
 def restore(balancer: Balancer, now: float, data: Any) -> None:
     """Restore what another process collected, in a balancer that knows only its endpoint list.
 
-    Raises LearnedStateError on invalid values; what was restored before them stays, which is harmless.
+    Raises LearnedStateError on an invalid value. Values restored before it stay restored, which is harmless.
     """
     try:
         _restore(balancer, now, data)
@@ -296,7 +296,7 @@
         if upstream is None:
             continue
         started = _decode_start(stored_start, offset)
-        # A restarted upstream has nothing in common with what was learned.
+        # What was learned about an upstream does not apply after its restart.
         if abs(started - upstream.member.started) <= MAX_START_DIFFERENCE_S:
             UpstreamRecord.decode(started, values, offset, now).apply(upstream, now)
 
@@ -307,12 +307,12 @@
 
 
 def _decode_start(stored: Any, offset: float) -> float:
-    """Decode a start time; 0 stands for long ago."""
+    """Decode a start time; 0 means long ago."""
     return _figure(stored, 0.0, MAX_CLOCK_S) + offset if stored else stored
 
 
 def _figure(value: Any, least: float, most: float) -> float:
     """Decode a number within bounds."""
     if isinstance(value, bool) or not least <= float(value) <= most or not math.isfinite(value):
-        raise LearnedStateError(f"a figure out of range: {value!r}")
+        raise LearnedStateError(f"figure out of range: {value!r}")
     return float(value)
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -113,7 +113,7 @@
 def test_files_of_others_stay_until_their_marks_are_stored_by_this_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(state_files, "_LEFTOVER_KEPT_S", 0.0)
+    monkeypatch.setattr(state_files, "_LEFTOVER_RETENTION_S", 0.0)
     monkeypatch.setattr(state_persistence, "_WRITE_INTERVAL_S", 0.0)
     good, (coordinator, persistence) = tmp_path / (PREFIX + "5-5"), _process(tmp_path)
     good.write_bytes(GOOD)
