--- a/indigokeel/net/__init__.py
+++ b/indigokeel/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, HTTP/1.1, the clock and signals round the coordinator."""
+"""The network side of the sidecar: sockets, HTTP/1.1, discovery and the admin address."""
--- a/indigokeel/net/admin.py
+++ b/indigokeel/net/admin.py
@@ -1,6 +1,6 @@
-"""The operators' address: HTTP/1.1, one call a connection, each answered as soon as its result is known.
+"""The admin server: HTTP/1.1, one call per connection, answered as soon as the result of the call is known.
 
-It runs on the event loop of the process and keeps no state: a call becomes one of three requests to its
+It runs on the event loop of the process and keeps no state: each call becomes one of three calls of its
 ``AdminHandler``.
 """
 
@@ -18,18 +18,18 @@
 from indigokeel.net import http
 from indigokeel.net.http import RequestError
 
-MAX_CONNECTIONS = 24  # over this the oldest connection is closed
+MAX_CONNECTIONS = 24  # above this, the oldest connection is closed
 
 _MAX_CALL_BYTES = 12 * 1024
 _MAX_HEADERS = 100
-_MAX_NAME_CHARACTERS = 200  # of an upstream
-_CALL_TIMEOUT_S = 5.0  # from the connection to the last byte of the call
-_LINGER_S = 0.5  # between the answer and the close, for a caller that is still sending
+_MAX_NAME_CHARACTERS = 200  # in the name of an upstream
+_CALL_TIMEOUT_S = 5.0  # from the accept of the connection to the answer
+_LINGER_S = 0.5  # between the answer and the close, for a caller that is still sending its call
 _BACKLOG = 128
 
 
 class CallResult(Enum):
-    """The result of a cordon or uncordon call: an HTTP status and its text."""
+    """The result of a cordon or uncordon call: the HTTP status and the body of the answer."""
 
     STORED = 200, "yes"
     UNKNOWN = 404, "nobody has a node of this id"
@@ -40,23 +40,23 @@
 
 
 class AdminHandler(Protocol):
-    """What carries out the calls."""
+    """The part of the process that carries out the calls."""
 
     def serves(self) -> bool:
         """Return True if this process can serve requests now."""
 
     def cordon(self, upstream: str, answer: AnswerCall) -> None:
-        """Cordon an upstream; ``answer`` is called at once or later."""
+        """Cordon an upstream; ``answer`` is called with the result, at once or later."""
 
     def uncordon(self, upstream: str, answer: AnswerCall) -> None:
-        """Lift the cordon of an upstream; ``answer`` is called at once or later."""
+        """Lift the cordon of an upstream; ``answer`` is called with the result, at once or later."""
 
 
 class AdminServer:
-    """Listens for the operators' calls."""
+    """Listens for the calls of operators."""
 
     def __init__(self, handler: AdminHandler, counters: Counters) -> None:
-        """Create a server that does not listen yet."""
+        """Create a server; ``listen`` has to be called to make it listen."""
         self.handler = handler
         self.counters = counters
         self._connections: dict[AdminConnection, None] = {}  # the oldest first
@@ -75,14 +75,14 @@
             raise
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Register a connection, and close the oldest one over the limit."""
+        """Register a connection, and close the oldest one if there are too many."""
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
             self.counters.add("mgmt_shed")
             next(iter(self._connections)).abort()
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Remove a connection."""
+        """Unregister a connection."""
         self._connections.pop(connection, None)
 
     def descriptors(self) -> list[int]:
@@ -111,27 +111,27 @@
         self._headers: dict[bytes, bytes] = {}
         self._body = b""
         self._received_bytes = 0
-        self._awaits_result = False  # the call is complete, and its handler has not answered
+        self._awaits_result = False  # the call is complete and the handler has not answered yet
         self.fd = -1
 
     # --- asyncio --------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time limit of the call."""
+        """Start the timeout of the call."""
         self._transport = cast(asyncio.Transport, transport)
         self.fd = transport.get_extra_info("socket").fileno()
         self._timer = asyncio.get_running_loop().call_later(_CALL_TIMEOUT_S, self._time_out)
         self._server.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Release what the connection holds."""
+        """Release the resources of the connection."""
         if self._timer is not None:
             self._timer.cancel()
-        self._parser = None  # breaks the cycle of references with it
+        self._parser = None  # breaks the reference cycle with the parser
         self._server.connection_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the call; what follows it is ignored."""
+        """Parse the call; data after it is ignored."""
         if self._parser is None or self._awaits_result:
             return
         self._received_bytes += len(data)
@@ -142,9 +142,9 @@
             self._answer_error(RequestError.of(error))
         except RequestError as error:
             self._answer_error(error)
-        except Exception as error:  # a fault costs this call and no other
+        except Exception as error:  # an internal error fails this call and no other
             self._server.counters.add("client_connection_faults")
-            self._server.counters.log(f"fault in a call: {type(error).__name__}: {error}", "error")
+            self._server.counters.log(f"fault in an admin call: {type(error).__name__}: {error}", "error")
             self._answer(500, "internal error")
 
     def _check_size(self) -> None:
@@ -154,23 +154,23 @@
     # --- httptools ------------------------------------------------------------------------------------
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header; the first of several with the same name counts."""
         if len(self._headers) > _MAX_HEADERS:
             raise RequestError(431, "the head is too large")
         self._headers.setdefault(name.lower(), value.strip(b" \t"))
 
     def on_headers_complete(self) -> None:
-        """Check the framing, and invite the body where the caller waits for that."""
+        """Check the framing, and send 100 Continue if the caller waits for it."""
         http.one_framing(self._headers)
         if self._headers.get(b"expect", b"").lower() == b"100-continue":
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         self._body += data
 
     def on_message_complete(self) -> None:
@@ -213,7 +213,7 @@
         self._answer(error.status, str(error))
 
     def _answer(self, status: int, text: str, has_body: bool = True) -> None:
-        """Answer once, and close after the caller has had time to read it."""
+        """Answer once, and close the connection after the caller has had time to read the answer."""
         if self._parser is None or self._transport.is_closing():
             return
         self._parser = None
@@ -244,7 +244,7 @@
 
 
 def _parse_upstream(body: bytes) -> str:
-    """Return the upstream that a call names; raise RequestError if the body is invalid."""
+    """Return the name of the upstream in the body of a call; raise RequestError if the body is invalid."""
     try:
         data = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/indigokeel/net/errors.py
+++ b/indigokeel/net/errors.py
@@ -1,8 +1,9 @@
-"""The meaning of errors of system calls on sockets, by step and errno. No I/O.
+"""Classifies errors of system calls on sockets by step and errno. No I/O.
 
-Some are no failures, as the call is in progress or has to be repeated (EINTR, EAGAIN, EINPROGRESS). Some are
-local: this machine lacks a descriptor, memory, a port or a route, which says nothing about the upstream, and
-an attempt that meets one has not been sent. The others are failures of the upstream or of the network to it.
+Some errors are not failures: the call is in progress or has to be repeated (EINTR, EAGAIN, EINPROGRESS). Some
+are local: this machine lacks a descriptor, memory, a port or a route, which says nothing about the upstream,
+and an attempt that ends with such an error was not sent. All others are failures of the upstream or of the
+network path to it.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 
 class Step(Enum):
-    """The step in the life of a connection at which a call was made."""
+    """The step in the life of a connection in which the system call was made."""
 
     __hash__ = object.__hash__
 
     PREPARE = "prepare"  # socket, setsockopt, fstat, getsockopt, registration with the event loop
-    CONNECT = "connect"  # the call itself
-    CONNECTING = "connecting"  # the error that a connect in progress ended with (SO_ERROR)
+    CONNECT = "connect"  # connect(2) itself
+    CONNECTING = "connecting"  # the error with which a connect in progress ended (SO_ERROR)
     WRITE = "write"
     READ = "read"
-    ACCEPT = "accept"  # of a client's connection
+    ACCEPT = "accept"  # of a client connection
 
 
 class Meaning(Enum):
@@ -30,16 +31,16 @@
 
     __hash__ = object.__hash__
 
-    GOES_ON = "goes on"  # no failure: the call is repeated, or completes by itself
+    GOES_ON = "goes on"  # not a failure: the call is repeated or completes by itself
     LOCAL = "local"  # a failure of this machine
-    UPSTREAM = "upstream"  # a failure of the upstream, or of the network to it
+    UPSTREAM = "upstream"  # a failure of the upstream or of the network path to it
 
 
-# Resources of the process or the machine that a connection to any upstream needs.
+# Lack of a resource of the process or the machine that a connection to any upstream needs.
 EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
-# Errors of connect(2) before anything has left the machine: no port (EAGAIN on some systems), no route, an
-# interface that is down, a local firewall rule, an unsupported address family.
+# Errors of connect(2) that occur before a packet leaves the machine: no port (EAGAIN on some systems), no
+# route, an interface that is down, a local firewall rule, an unsupported address family.
 _CONNECT_LOCAL = EXHAUSTED | {
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
@@ -52,9 +53,9 @@
     errno.EAFNOSUPPORT,
 }
 
-# Errors of accept(2) that concern one connection, which has left the backlog: it is closed, a firewall
-# forbids it, or, on Linux, a network error was pending on the new socket.
-_ACCEPT_OF_ONE_CONNECTION = {
+# Errors of accept(2) that concern a single connection, which has left the backlog: it was closed, a firewall
+# forbids it or, on Linux, a network error was pending on the new socket.
+_ACCEPT_SINGLE_CONNECTION = {
     errno.ECONNABORTED,
     errno.ECONNRESET,
     errno.EHOSTDOWN,
@@ -72,19 +73,20 @@
     errno.ETIMEDOUT,
 }
 
-_GOES_ON = {
+_NOT_FAILURES = {
     Step.PREPARE: frozenset({errno.EINTR}),
     # A connect that a signal interrupts continues asynchronously (POSIX, connect).
     Step.CONNECT: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EISCONN}),
     Step.CONNECTING: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EAGAIN}),
     Step.WRITE: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
     Step.READ: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
-    Step.ACCEPT: frozenset(_ACCEPT_OF_ONE_CONNECTION),
+    Step.ACCEPT: frozenset(_ACCEPT_SINGLE_CONNECTION),
 }
 
-# EHOSTUNREACH and ENETUNREACH from the call itself mean that this machine has no route. Once the connect is
-# in progress they report an unanswered ARP request or an ICMP message, so the upstream is not reachable; on
-# an open connection they are failures of it, like ETIMEDOUT and ECONNRESET. EADDRNOTAVAIL is always local.
+# EHOSTUNREACH and ENETUNREACH from connect(2) itself mean that this machine has no route. Once the connect is
+# in progress, they report an unanswered ARP request or an ICMP message, so the upstream is unreachable. On an
+# open connection they are failures of the upstream, like ETIMEDOUT and ECONNRESET. EADDRNOTAVAIL is always
+# local.
 _LOCAL = {
     Step.CONNECT: _CONNECT_LOCAL,
     Step.CONNECTING: EXHAUSTED | {errno.EADDRNOTAVAIL},
@@ -94,17 +96,17 @@
 
 
 def meaning(number: int | None, step: Step) -> Meaning:
-    """Return the meaning of an errno at a step; None stands for a timeout."""
-    if number in _GOES_ON[step]:
+    """Return the meaning of an errno at a step; None means a timeout."""
+    if number in _NOT_FAILURES[step]:
         return Meaning.GOES_ON
-    # All other errors before a connect or at an accept are local, as no peer is involved.
+    # All other errors before a connect or in an accept are local, as no upstream is involved.
     if step in (Step.PREPARE, Step.ACCEPT) or number in _LOCAL[step]:
         return Meaning.LOCAL
     return Meaning.UPSTREAM
 
 
 class LocalError(OSError):
-    """A call that this machine could not make, which says nothing about the upstream."""
+    """A system call that failed locally, which says nothing about the upstream."""
 
     @property
     def exhausted(self) -> bool:
@@ -113,9 +115,9 @@
 
 
 def typed(number: int | None, step: Step) -> OSError:
-    """Return the exception for an errno: OSError for a failure of the upstream, else LocalError.
+    """Return the exception for an errno: OSError for a failure of the upstream, otherwise LocalError.
 
-    A call that has to be repeated (EINTR) was not made, which counts as local.
+    A call that has to be repeated (EINTR) was not carried out, which counts as local.
     """
     kind = OSError if meaning(number, step) is Meaning.UPSTREAM else LocalError
     return kind(number, os.strerror(number or 0))
--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 for both sides: limits, response heads, load reports, and queries of a socket.
+"""HTTP/1.1 for the client side and the upstream side: limits, heads, load reports, and socket queries.
 
-Messages are parsed by httptools (llhttp) in its strict mode, which rejects messages with two lengths, with a
-length that is not a number, or with invalid characters in the head.
+httptools (llhttp) parses the messages in its strict mode, which rejects a message with two lengths, with a
+length that is not a number, or with invalid characters in its head.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 from indigokeel.balancing.events import LoadReport
 from indigokeel.config.load_report_fields import LOAD_REPORT_FIELDS
 
-MAX_HEAD = 16 * 1024  # bytes of a message's head
-MAX_BODY = 64 * 1024  # bytes of a body that is read in full; a longer one is streamed
-MOST_BODY = 40 << 20  # bytes of a request's body
+MAX_HEAD = 16 * 1024  # bytes of the head of a message
+MAX_BODY = 64 * 1024  # bytes of a body that is buffered whole; a longer one is streamed
+MOST_BODY = 40 << 20  # bytes of the body of a request; a longer one is rejected
 
-Body = list[bytes]  # the chunks of a body as they were received
+Body = list[bytes]  # the chunks of a body, as received
 
-# A figure over its limit counts as missing. Utilisation is noisy and may exceed 1 a little.
+# A figure over its limit counts as missing. Utilisation is noisy and may slightly exceed 1.
 _MAX_LOAD = {"utilisation": 2.0, "error_rate": 1e5, "latency": 1e6}  # latency in ms
 _MAX_OTHER_LOAD = 1e5
-_LOAD_CACHE_SIZE = 256  # upstreams repeat a report in many responses
+_LOAD_CACHE_SIZE = 256  # upstreams repeat the same report in many responses
 _MS_PER_S = 1000.0
 
 _STATUS_LINES = {s.value: b"HTTP/1.1 %d %s\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
 
 
 def readable(fd: int) -> bool:
-    """Return whether data or the end of the stream can be read."""
-    return _polled(fd, select.POLLIN)
+    """Return whether data or the end of the stream can be read without blocking."""
+    return _has_event(fd, select.POLLIN)
 
 
 def hung_up(fd: int) -> bool:
-    """Return whether the peer has closed its side or reset the connection, even behind unread data."""
-    return _polled(fd, select.POLLRDHUP)
+    """Return whether the peer has closed its side or reset the connection, even if unread data remains."""
+    return _has_event(fd, select.POLLRDHUP)
 
 
-def _polled(fd: int, events: int) -> bool:
-    """Return whether the system reports any of some events, or an error; False if it cannot tell."""
+def _has_event(fd: int, events: int) -> bool:
+    """Return whether poll(2) reports any of the events or an error; False if the poll itself fails."""
     poll = select.poll()
     poll.register(fd, events)
     try:
@@ -56,7 +56,7 @@
 
 
 def unsent(fd: int) -> int:
-    """Return the number of written bytes that the peer's system has not acknowledged."""
+    """Return the number of written bytes that the peer has not acknowledged yet (TCP)."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
     except OSError:  # the connection is closed
@@ -64,7 +64,7 @@
 
 
 class RequestError(Exception):
-    """A request that is rejected; ``status`` is that of the response."""
+    """A request that is rejected; ``status`` is the HTTP status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -72,22 +72,22 @@
 
     @classmethod
     def of(cls, error: Exception) -> RequestError:
-        """Return the error that a parser's callback has raised, or 400 for one of the parser's own."""
+        """Return the error raised in a callback of the parser, or one with status 400 for a parse error."""
         cause = error.__context__
         return cause if isinstance(cause, cls) else cls(400, str(error))
 
 
 def one_framing(headers: Mapping[bytes, bytes]) -> None:
-    """Raise RequestError if a message gives its length in two ways.
+    """Raise RequestError if a message states its length in two ways.
 
-    An upstream that prefers the other one would find a second request in the body (request smuggling).
+    An upstream that prefers the other length would find a second request in the body (request smuggling).
     """
     if b"content-length" in headers and b"transfer-encoding" in headers:
         raise RequestError(400, "both Content-Length and Transfer-Encoding")
 
 
 def head(status: int, length: int, retry_after_s: float = 0.0, close: bool = False) -> bytes:
-    """Return a response's head; ``length`` is that of the body in bytes, -1 if it is chunked."""
+    """Return the head of a response; ``length`` is the size of the body in bytes, or -1 if it is chunked."""
     headers = b"Content-Length: %d\r\n" % length if length >= 0 else b"Transfer-Encoding: chunked\r\n"
     if retry_after_s > 0.0:
         headers += b"Retry-After: %.3f\r\n" % retry_after_s
@@ -95,12 +95,12 @@
 
 
 def response(status: int, body: Body, retry_after_s: float = 0.0, close: bool = False) -> list[bytes]:
-    """Return a complete response, head first."""
+    """Return a complete response, its head first."""
     return [head(status, sum(map(len, body)), retry_after_s, close), *body]
 
 
 def chunk(pieces: Sequence[bytes], last: bool) -> list[bytes]:
-    """Return parts of a body as one chunk of a chunked body, followed by its end if ``last``."""
+    """Return parts of a body encoded as one chunk, followed by the terminating chunk if ``last``."""
     size = sum(map(len, pieces))
     framed = [b"%x\r\n" % size, *pieces, b"\r\n"] if size else []
     return [*framed, b"0\r\n\r\n"] if last else framed
@@ -113,10 +113,10 @@
 
 @lru_cache(_LOAD_CACHE_SIZE)
 def parse_load_report(text: str | None) -> LoadReport | None:
-    """Parse a load report, ``name=value,name=value``; latency becomes seconds.
+    """Parse a load report, ``name=value,name=value``; latency is converted to seconds.
 
-    Negative, invalid and excessive figures are left out. Return None if nothing is left. Results are cached,
-    so they must not be modified.
+    Negative, invalid and excessive figures are dropped. Return None if no figure is left. Results are cached
+    and must not be modified.
     """
     if not text:
         return None
@@ -136,7 +136,7 @@
 
 
 def bind(address: tuple[str, int], inherited: int = -1) -> socket.socket:
-    """Return a non-blocking socket to listen on: a new one, or the ``inherited`` descriptor.
+    """Return a non-blocking socket to listen on: a new one, or the one of the ``inherited`` descriptor.
 
     Raises OSError if the address cannot be bound or the descriptor is not a listening socket.
     """
--- a/indigokeel/net/messages.py
+++ b/indigokeel/net/messages.py
@@ -1,4 +1,4 @@
-"""The messages between the client side and the upstream side: a request to forward, and its response."""
+"""The messages between the client side and the upstream side: an outbound request and its response."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     key: bytes | None
     body: http.Body
     has_body: bool
-    unsafe: bool = False  # must never run twice
-    request_stream: RequestStream | None = None  # in place of ``body``, if that is long
-    # Called right before an attempt's first byte: returns whether the client has disconnected, so that the
-    # attempt must not be sent, and reports the disconnect.
+    unsafe: bool = False  # the request must not run twice
+    request_stream: RequestStream | None = None  # replaces ``body`` if that is long
+    # Called immediately before the first byte of an attempt. Returns whether the client has disconnected, in
+    # which case the attempt must not be sent, and reports the disconnect.
     has_client_left: Callable[[], bool] = lambda: False
 
 
@@ -32,6 +32,6 @@
     """The result of an attempt."""
 
     outcome: AttemptOutcome
-    load: LoadReport | None = None  # as reported by the upstream
+    load: LoadReport | None = None  # sent by the upstream with the response
     body: http.Body | None = None
-    stream: ResponseStream | None = None  # in place of ``body``, if that is long
+    stream: ResponseStream | None = None  # replaces ``body`` if that is long
--- a/indigokeel/net/streams.py
+++ b/indigokeel/net/streams.py
@@ -1,6 +1,6 @@
-"""Long bodies in transit, with flow control in both directions. No I/O.
+"""Streams of long bodies between client and upstream, with flow control. No I/O.
 
-A body of at most ``http.MAX_BODY`` bytes is read in full instead.
+A body of at most ``http.MAX_BODY`` bytes is buffered whole instead.
 """
 
 from __future__ import annotations
@@ -10,44 +10,45 @@
 
 from indigokeel.net import http
 
-_HIGH_WATER_BYTES = 64 * 1024  # buffered before the source is paused
+_HIGH_WATER_BYTES = 64 * 1024  # buffered bytes above which the source is paused
 
 
 class Source(Protocol):
-    """The connection that a body comes from."""
+    """The connection from which a body is read."""
 
     def pause(self) -> None:
         """Stop reading."""
 
     def resume(self) -> None:
-        """Read again."""
+        """Start reading again."""
 
 
 class RequestStreamSource(Source, Protocol):
-    """The client connection that a long body comes from."""
+    """The client connection from which the body of a long request is read."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client has closed its connection, asked of the system."""
+        """Return whether the client has closed its connection, by a query of the socket."""
 
 
 class Reader(Protocol):
-    """The receiver of a response's body."""
+    """The receiver of the body of a response."""
 
     def body(self, pieces: http.Body) -> None:
         """Handle a part of the body."""
 
     def body_ended(self, whole: bool) -> None:
-        """Handle the end of the body, which is incomplete unless ``whole``."""
+        """Handle the end of the body, which is truncated unless ``whole``."""
 
 
 def _do_nothing() -> None:
-    """Stand in for a callback that is not set yet."""
+    """Do nothing, as the default of a callback that is not set yet."""
 
 
 class ResponseStream:
-    """The body of a long response, from the upstream's connection to the client's.
+    """The body of a long response, from the upstream connection to the client connection.
 
-    ``length`` is in bytes, -1 if the upstream does not give it. ``on_cancel`` closes the connection to it.
+    ``length`` is in bytes, or -1 if the upstream does not state it. ``on_cancel`` closes the upstream
+    connection.
     """
 
     __slots__ = ("_reader", "_source", "has_ended", "length", "on_cancel")
@@ -74,21 +75,21 @@
             self._reader.body(chunks)
 
     def end(self, is_complete: bool) -> None:
-        """End the stream after its last part."""
+        """End the stream, after the last part of the body."""
         if self.has_ended:
             return
         self.has_ended = True
-        self._source.resume()  # for the next response on the connection
+        self._source.resume()  # so that the next response on the connection is read
         if self._reader is not None:
             self._reader.body_ended(is_complete)
 
     def pause(self) -> None:
-        """Stop the source while the reader cannot take more."""
+        """Pause the source while the reader cannot accept more."""
         if not self.has_ended:
             self._source.pause()
 
     def resume(self) -> None:
-        """Continue after a pause."""
+        """Resume the source after a pause."""
         if not self.has_ended:
             self._source.resume()
 
@@ -101,20 +102,20 @@
 
 
 class Sink(Protocol):
-    """The connection that a body goes to."""
+    """The connection to which a body is written."""
 
     def is_writable(self) -> bool:
-        """Return whether all that was written has been sent."""
+        """Return whether everything written so far has been sent."""
 
     def write(self, chunks: http.Body) -> None:
         """Write a part of the body."""
 
 
 class RequestStream:
-    """The body of a long request, from the client's connection to one upstream's.
+    """The body of a long request, from the client connection to one upstream connection.
 
-    ``length`` is in bytes, -1 if the body is chunked. ``is_complete`` is set when its last byte has been
-    received, ``is_fully_written`` when that has been written to the upstream.
+    ``length`` is in bytes, or -1 if the body is chunked. ``is_complete`` is set when the last byte has been
+    received, ``is_fully_written`` when it has been written to the upstream.
     """
 
     __slots__ = (
@@ -135,7 +136,7 @@
         self._is_discarded = False
 
     def add(self, data: bytes) -> None:
-        """Take a part of the body, and pause the source if too much is buffered."""
+        """Buffer a part of the body, and pause the source if too much is buffered."""
         if self._is_discarded:
             return
         self._buffered.append(data)
@@ -157,12 +158,12 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what is buffered, if the sink has sent all that was written before."""
+        """Write the buffered data, if the sink has sent everything written before."""
         sink = self._sink
         if sink is None or self.is_fully_written or not sink.is_writable():
             return
-        # An upstream starts a request with its last byte. While the source was paused, the disconnect of its
-        # client was not read.
+        # An upstream runs a request once it has its last byte. A disconnect of the client is not noticed
+        # while the source is paused, so the socket is queried before that byte is written.
         is_last = self.is_complete or self._received_bytes == self.length
         if is_last and self._source.has_disconnected():
             return
@@ -177,7 +178,7 @@
         self._resume_source()
 
     def discard(self) -> None:
-        """Drop what is buffered and all that follows."""
+        """Discard the buffered data and all that follows."""
         self._is_discarded = True
         self._sink = None
         self._buffered_bytes = 0
@@ -185,7 +186,7 @@
         self._resume_source()
 
     def buffered(self) -> http.Body:
-        """Return what has been received and not written."""
+        """Return the data that was received but not written yet."""
         return self._buffered
 
     def _resume_source(self) -> None:
