--- a/indigokeel/__init__.py
+++ b/indigokeel/__init__.py
@@ -1,4 +1,4 @@
-"""indigokeel: the decisions of a load balancer that every client process carries as a sidecar."""
+"""indigokeel: a load-balancing sidecar for HTTP/1.1."""
 
 from indigokeel.balancing.balancer import Balancer
 from indigokeel.balancing.settings import Settings
--- a/indigokeel/__main__.py
+++ b/indigokeel/__main__.py
@@ -16,22 +16,22 @@
 
 
 def main() -> int:
-    """Run the sidecar; return 0 after a graceful shutdown, 1 if it cannot listen, 2 if misconfigured."""
-    # A SIGHUP that arrives before its handler is installed waits for it, because the file may have been
-    # replaced just after it was read here. Before this line ``run`` of the deploy file ignores the signal.
+    """Run the sidecar; return 0 after a graceful shutdown, 1 if it cannot serve, 2 if misconfigured."""
+    # A SIGHUP that arrives before its handler is installed stays pending until then, because the file may be
+    # replaced right after it is read here. Before this line, ``run`` of the deploy file ignores the signal.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         config = load_config(os.environ)
     except ConfigError as error:
         print(f"indigokeel: bad configuration: {error}", file=sys.stderr)
         return 2
-    # The objects of the imports are never freed, so full collections need not visit them.
+    # The imported objects are never freed, so full garbage collections need not traverse them.
     gc.freeze()
-    # Requests leave no reference cycles behind, so that collections can be rare.
+    # Requests create no reference cycles, so garbage collections can be rare.
     gc.set_threshold(10_000, 20, 20)
     try:
-        # Bound before anything else is opened, which could get the number of a descriptor that was not
-        # inherited.
+        # Called before anything else is opened: if the descriptor was not inherited, another file could get
+        # its number.
         listener = http.bind(config.listen, config.listen_fd)
         uvloop.run(_serve_until_end(config, listener))
     except OSError as error:
@@ -42,7 +42,7 @@
 
 async def _serve_until_end(config: Config, listener: socket.socket) -> None:
     await serve(config, listener)
-    # The loop removes its handlers as it is closed, and without them a signal would end the process.
+    # The event loop removes its signal handlers when it is closed; a signal would then end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
--- a/indigokeel/clocks.py
+++ b/indigokeel/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks of the machine: the monotonic one, which its processes share, and the wall clock, read once."""
+"""The clocks of the machine: the monotonic clock, which its processes share, and the wall clock."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 def unix_to_clock() -> float:
-    """Return the seconds to add to a Unix time to get the monotonic clock's, by the wall clock of now.
+    """Return the offset in seconds from a Unix time to the monotonic clock, by the current wall clock.
 
-    This is the only use of the wall clock: ``since_ms`` of the endpoint list is a Unix time.
+    This is the only use of the wall clock, once per process. It is needed because ``since_ms`` of the
+    endpoint list is a Unix time.
     """
     return time.monotonic() - time.time()
 
 
 def boot_id() -> str:
-    """Return the id of the machine's boot, which ends the monotonic clock; empty if it is unknown."""
+    """Return the id of the current boot, at which the monotonic clock began; empty if it is unknown."""
     try:
         return _BOOT_ID.read_text(encoding="ascii").strip()[:_MAX_BOOT_ID_CHARACTERS]
     except (OSError, ValueError):
--- a/indigokeel/config/__init__.py
+++ b/indigokeel/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration of a process: file format, decoding, validation, and comparison on reload."""
+"""The configuration of a process: loading, decoding, validation, and the check on reload."""
 
 from indigokeel.config.errors import ConfigError, SettingsError
 from indigokeel.config.loader import Config, load_config, reload_config
--- a/indigokeel/config/errors.py
+++ b/indigokeel/config/errors.py
@@ -1,11 +1,11 @@
-"""The errors of a configuration."""
+"""The errors that loading a configuration raises."""
 
 from __future__ import annotations
 
 
 class SettingsError(ValueError):
-    """A value of the configuration that is missing or invalid; the text names its path."""
+    """A missing or invalid value of the configuration; the message names its path."""
 
 
 class ConfigError(ValueError):
-    """A configuration that no process can start from; the text is one line."""
+    """A configuration with which no process can start; the message is one line."""
--- a/indigokeel/config/field_reader.py
+++ b/indigokeel/config/field_reader.py
@@ -1,4 +1,4 @@
-"""Reads the fields of a decoded JSON object, and reports a missing or invalid one by its path."""
+"""Reads the fields of a decoded JSON object, and reports a missing or invalid field by its path."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 from indigokeel.config.errors import SettingsError
 
-_MAX_QUOTED_CHARACTERS = 60  # of an invalid value, in an error's text
+_MAX_QUOTED_CHARACTERS = 60  # of an invalid value, in an error message
 
 T = TypeVar("T")
 
 
 class FieldReader:
-    """One JSON object. A field that is null counts as missing."""
+    """The fields of one JSON object. A field that is null counts as missing."""
 
     def __init__(self, data: Any, path: str = "settings") -> None:
-        """Wrap a decoded value; raise SettingsError where it is no object."""
+        """Wrap a decoded JSON value; raise SettingsError if it is not an object."""
         if not isinstance(data, dict):
-            raise SettingsError(f"{path}: not an object, of a wrong shape")
+            raise SettingsError(f"{path}: not an object")
         self._data = data
         self.path = path
 
     def object(self, key: str) -> FieldReader:
-        """Return the object in a field; an empty one where the field is missing."""
+        """Return the object in a field; an empty one if the field is missing."""
         found = self._data.get(key)
         return FieldReader({} if found is None else found, f"{self.path}.{key}")
 
     def objects(self, key: str, required: bool = False) -> list[FieldReader]:
-        """Return the objects of the list in a field; an empty list where it is missing and not required."""
+        """Return the objects of the list in a field; an empty list if it is missing and not required."""
         items = self._data.get(key)
         if items is None:
             if required:
                 raise SettingsError(f"{self.path}: {key!r} is missing")
             return []
         if not isinstance(items, list):
-            raise SettingsError(f"{self.path}.{key}: not a list, of a wrong shape")
+            raise SettingsError(f"{self.path}.{key}: not a list")
         return [FieldReader(item, f"{self.path}.{key}[{number}]") for number, item in enumerate(items)]
 
     def read(self, key: str, convert: Callable[[Any], T], default: T | None = None) -> T:
-        """Return a field's value as ``convert`` makes it; without a default the field is required."""
+        """Return the value of a field, converted by ``convert``; without a default the field is required."""
         value = self._data.get(key)
         if value is None:
             if default is None:
@@ -54,7 +54,7 @@
 
     def number(self, key: str, default: float | None = None) -> float:
         """Return a finite number."""
-        return self.read(key, _finite, default)
+        return self.read(key, _to_finite_number, default)
 
     def integer(self, key: str, default: int) -> int:
         """Return an integer."""
@@ -62,21 +62,21 @@
 
     def text(self, key: str) -> str:
         """Return a required string."""
-        return self.read(key, _string)
+        return self.read(key, _to_string)
 
     def flag(self, key: str) -> bool:
-        """Return a boolean, False where the field is missing."""
+        """Return a boolean; False if the field is missing."""
         return self.read(key, bool, False)
 
 
-def _finite(value: Any) -> float:
+def _to_finite_number(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
         raise ValueError
     return number
 
 
-def _string(value: Any) -> str:
+def _to_string(value: Any) -> str:
     if not isinstance(value, str):
         raise TypeError
     return value
--- a/indigokeel/config/load_report_fields.py
+++ b/indigokeel/config/load_report_fields.py
@@ -1,9 +1,9 @@
-"""The names under which load reports bring their figures."""
+"""The names of the figures of a load report."""
 
 from __future__ import annotations
 
-# Each pair holds the name in ``telemetry.columns`` of the settings and that of the protocol's examples; the
-# value is the field of ``LoadReport``.
+# Each field of ``LoadReport`` has two names: first the one in ``telemetry.columns`` of the settings, then the
+# one in the examples of the protocol.
 LOAD_REPORT_FIELDS = {
     "busy": "utilisation",
     "util": "utilisation",
--- a/indigokeel/config/loader.py
+++ b/indigokeel/config/loader.py
@@ -1,4 +1,4 @@
-"""Loads the configuration file that the environment names."""
+"""Loads the configuration file that an environment variable names."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a process is configured with at its start."""
+    """The complete configuration of a process."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
-    known: EndpointList  # as this sidecar last had it; may be old
+    sockets: int  # limit of descriptors that the process may have open
+    known: EndpointList  # the endpoint list that this sidecar had last; may be outdated
     settings: Settings
-    mgmt: Address | None = None  # the operators' address; None: there is none
-    listen_fd: int = -1  # the platform's listening socket, inherited; -1: there is none
-    state_dir: str = ""  # where processes of this sidecar leave their state for each other; "": nowhere
-    raw: Mapping[str, Any] = field(default_factory=dict)  # the file's content without that of ``known``
+    mgmt: Address | None = None  # the address for operators; None: no admin server
+    listen_fd: int = -1  # a listening socket inherited from the platform; -1: none
+    state_dir: str = ""  # folder for the state files of this sidecar; "": no state is stored
+    raw: Mapping[str, Any] = field(default_factory=dict)  # content of the file, without that of ``known``
 
 
 def load_config(env: Mapping[str, str]) -> Config:
-    """Load the file that BALANCER_CONFIG names; other variables override it. Raise ConfigError if invalid."""
-    with _reported_as_config_errors():
+    """Load the file BALANCER_CONFIG names, which other variables override; raise ConfigError if invalid."""
+    with _converted_to_config_errors():
         return _decode(_read_file(env), env)
 
 
 def reload_config(env: Mapping[str, str], current: Config) -> Config:
     """Load the file again while ``current`` is in force; raise ConfigError if it is invalid.
 
-    A file that lacks a key of the current one, or has it as another JSON type, is invalid. ``discovery`` is
-    taken from the file alone: the environment's value dates from the start, and the file is newer.
+    A file that lacks a key of the current one, or has a value of another JSON type, is invalid. ``discovery``
+    is taken from the file alone: the environment dates from the start of the process, and the file is newer.
     """
-    with _reported_as_config_errors():
+    with _converted_to_config_errors():
         data = _read_file(env)
         if fault := find_regression(current.raw, data):
             raise SettingsError(fault)
@@ -58,8 +58,8 @@
 
 
 @contextlib.contextmanager
-def _reported_as_config_errors() -> Iterator[None]:
-    """Turn whatever is wrong with a file into a ConfigError of one line."""
+def _converted_to_config_errors() -> Iterator[None]:
+    """Convert any error of reading or decoding the file to a ConfigError with a message of one line."""
     try:
         yield
     except OSError as error:
--- a/indigokeel/config/reload_check.py
+++ b/indigokeel/config/reload_check.py
@@ -1,4 +1,4 @@
-"""Compares a reread configuration file with the one in force, before it is decoded."""
+"""Compares a reloaded configuration file with the current configuration, before the file is decoded."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Mapping
 from typing import Any
 
-_KINDS: tuple[tuple[type, ...], ...] = ((bool,), (int, float), (str,), (list,), (dict,))
+_JSON_TYPES: tuple[tuple[type, ...], ...] = ((bool,), (int, float), (str,), (list,), (dict,))
 
 
 def find_regression(current: Any, new: Any, path: str = "") -> str:
-    """Return what a new value lacks of the current one, or has as another JSON type; "" where nothing.
+    """Return the first key that the new value lacks or has as another JSON type; "" if there is none.
 
-    A file that was truncated or damaged may still be valid JSON, and defaults would replace what it lost.
+    A truncated or damaged file may still be valid JSON, and defaults would replace the settings that it lost.
     """
     if current is None:
         return ""
-    kind = next(kind for kind in _KINDS if isinstance(current, kind))
-    if not isinstance(new, kind) or (isinstance(new, bool) and bool not in kind):
-        return f"{path or 'the configuration'} is of another kind"
+    json_type = next(json_type for json_type in _JSON_TYPES if isinstance(current, json_type))
+    if not isinstance(new, json_type) or (isinstance(new, bool) and bool not in json_type):
+        return f"{path or 'the configuration'} has another JSON type"
     if isinstance(new, float) and not math.isfinite(new):
-        return f"{path} is no number"
-    value: Any = new  # of the same JSON type as the current one
+        return f"{path} is not a finite number"
+    value: Any = new  # has the same JSON type as the current value
     if isinstance(current, dict):
         return _find_in_object(current, value, path)
     if isinstance(current, list):
@@ -40,7 +40,7 @@
 
 
 def _find_in_list(current: list[Any], new: list[Any], path: str) -> str:
-    """Compare each new object with the keys that all current objects of the list share."""
+    """Compare each new object with the keys that all objects of the current list have in common."""
     if not current or not all(isinstance(item, dict) for item in current):
         return ""
     shared = {key: value for key, value in current[0].items() if all(key in item for item in current)}
--- a/indigokeel/config/settings_decoder.py
+++ b/indigokeel/config/settings_decoder.py
@@ -1,6 +1,6 @@
-"""Decodes the settings object that the platform hands to a process, and the simulator to an instance.
+"""Decodes the settings object, which the platform passes to a process and the simulator to an instance.
 
-Unknown keys are ignored, and a missing one has the protocol's default.
+Unknown keys are ignored; a missing key has the default that the protocol defines.
 """
 
 from __future__ import annotations
@@ -28,24 +28,24 @@
 _CAPACITY_WEIGHTS = (
     "nominal",
     "rough",
-)  # values of ``weights`` by which an upstream's weight is its capacity
+)  # values of ``weights`` with which the weight of an upstream is its capacity
 
 
 def decode_settings(data: Any) -> Settings:
-    """Decode the settings object; raise SettingsError, which names the field, where it is invalid."""
+    """Decode the settings object; raise SettingsError, which names the field, if it is invalid."""
     settings = FieldReader(data)
     limits = settings.object("limits")
     safety = settings.object("safety")
     prices = settings.object("prices")
     return Settings(
-        classes=tuple(_class(item) for item in settings.objects("classes", required=True)),
+        classes=tuple(_decode_class(item) for item in settings.objects("classes", required=True)),
         instance_index=settings.integer("me", 0),
         sidecars=settings.integer("balancers", 1),
         zone=settings.read("zone", str, ""),
-        tenants=tuple(_tenant(item) for item in settings.objects("tenants")),
-        limits=_limits(limits),
-        safety=_safety(safety),
-        prices=_prices(prices),
+        tenants=tuple(_decode_tenant(item) for item in settings.objects("tenants")),
+        limits=_decode_limits(limits),
+        safety=_decode_safety(safety),
+        prices=_decode_prices(prices),
         load_report_source=settings.object("telemetry").read(
             "how", _LOAD_REPORT_SOURCES.__getitem__, LoadReportSource.NONE
         ),
@@ -57,7 +57,7 @@
     )
 
 
-def _class(item: FieldReader) -> ClassSettings:
+def _decode_class(item: FieldReader) -> ClassSettings:
     return ClassSettings(
         name=item.text("name"),
         latency_objective=item.number("objective-s"),
@@ -72,7 +72,7 @@
     )
 
 
-def _tenant(item: FieldReader) -> TenantSettings:
+def _decode_tenant(item: FieldReader) -> TenantSettings:
     return TenantSettings(
         name=item.text("name"),
         share=item.number("share", 0.0),
@@ -80,7 +80,7 @@
     )
 
 
-def _limits(limits: FieldReader) -> Limits:
+def _decode_limits(limits: FieldReader) -> Limits:
     return Limits(
         cancellation=limits.flag("cancelling"),
         hedging=limits.flag("second-copies"),
@@ -94,7 +94,7 @@
     )
 
 
-def _safety(safety: FieldReader) -> Safety:
+def _decode_safety(safety: FieldReader) -> Safety:
     return Safety(
         poll_within=safety.number("ask-within-s", 10.0),
         warm_up_initial_ratio=safety.number("cold-from", 0.3),
@@ -105,7 +105,7 @@
     )
 
 
-def _prices(prices: FieldReader) -> Prices:
+def _decode_prices(prices: FieldReader) -> Prices:
     return Prices(
         cross_zone=prices.number("cross-zone", 0.0),
         health_check=prices.number("probe", 0.0),
--- a/indigokeel/simulation/__init__.py
+++ b/indigokeel/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on the wire of the simulator."""
+"""The adapter that connects balancers to the simulator."""
--- a/indigokeel/simulation/adapter.py
+++ b/indigokeel/simulation/adapter.py
@@ -1,6 +1,6 @@
 """Runs balancers for the simulator: ``python -m indigokeel.simulation.adapter``.
 
-Batches arrive on standard input, and one reply a batch is written to standard output.
+Reads batches from standard input, and writes one reply per batch to standard output.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from indigokeel.simulation.host import Host
 from indigokeel.simulation.wire import WireError
 
-_MAX_QUOTED_CHARACTERS = 300  # of a line, in an error's text
+_MAX_QUOTED_CHARACTERS = 300  # of a line, in an error message
 
 
 def read_batch(source: TextIO) -> list[str] | None:
@@ -32,7 +32,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends. A reply is written as a whole or not at all."""
+    """Answer batches until the input ends. Each reply is written completely or not at all."""
     host = Host()
     while (lines := read_batch(source)) is not None:
         sink.write("\n".join(host.reply(lines)) + "\n")
@@ -40,7 +40,7 @@
 
 
 def main() -> int:
-    """Run the adapter; return 0 at the end of the input, 1 on a message that is not allowed on the wire."""
+    """Run the adapter; return 0 at the end of the input, 1 on an invalid message."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/indigokeel/simulation/host.py
+++ b/indigokeel/simulation/host.py
@@ -1,4 +1,4 @@
-"""Hosts balancers and answers the batches of the simulator's wire. No I/O."""
+"""Hosts balancers and answers the batches of messages that the simulator sends. No I/O."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     parse_settings,
 )
 
-_MAX_QUOTED_CHARACTERS = 300  # of a line, in an error's text
+_MAX_QUOTED_CHARACTERS = 300  # of a line, in an error message
 
 
 class Host:
-    """The instances of one process, each with a Balancer of its own; they share nothing."""
+    """The sidecar instances of one process, each with its own Balancer; they share no state."""
 
     def __init__(self) -> None:
-        """Start without an instance."""
+        """Create a host without instances."""
         self._instances: dict[int, Balancer] = {}
-        self._lists: dict[str, tuple[Member, ...]] = {}
+        self._endpoint_lists: dict[str, tuple[Member, ...]] = {}
 
     def reply(self, lines: list[str]) -> list[str]:
-        """Answer one batch: its lines, from the one with the time to the one that ends it.
+        """Answer one batch, given as its lines from ROUND to YOUR_TURN.
 
-        Raise WireError, which quotes the line, on one that is not allowed.
+        Raise WireError, which quotes the line, on an invalid line.
         """
         line = lines[0]
         output: list[str] = []
@@ -55,7 +55,7 @@
             parts = parse_parts(line)
             self._deliver(int(parts["sidecar"]), now, lambda: EVENT_PARSERS[name](parts), output)
         elif name == "POOL":
-            self._read_list(parse_parts(line), remaining)
+            self._read_endpoint_list(parse_parts(line), remaining)
         elif name == "SYNC":
             self._update_membership(now, parse_parts(line), output)
         elif name == "SPAWN":
@@ -63,16 +63,16 @@
         elif name == "SHUTDOWN":
             self._instances.pop(int(parse_parts(line)["sidecar"]), None)
         elif not name.isupper():
-            raise WireError("not a message of the wire")
+            raise WireError("not a message of the simulator's protocol")
 
-    def _read_list(self, parts: Parts, remaining: Iterator[str]) -> None:
+    def _read_endpoint_list(self, parts: Parts, remaining: Iterator[str]) -> None:
         members = []
         for _ in range(int(parts["rows"])):
             row = next(remaining, "")
             if not row.startswith("ROW "):
-                raise WireError(f"a list of {parts['rows']} rows breaks off at {row[:100]!r}")
+                raise WireError(f"an endpoint list of {parts['rows']} rows ends early at {row[:100]!r}")
             members.append(parse_member(row))
-        self._lists[parts["roster-id"]] = tuple(members)
+        self._endpoint_lists[parts["roster-id"]] = tuple(members)
 
     def _update_membership(self, now: float, parts: Parts, output: list[str]) -> None:
         sidecar = int(parts["sidecar"])
@@ -80,9 +80,9 @@
         members: tuple[Member, ...] = ()
         if kind is not UpdateKind.FAILED:
             number = parts["roster-id"]
-            if number not in self._lists:
-                raise WireError(f"no list has the number {number}")
-            members = self._lists[number]
+            if number not in self._endpoint_lists:
+                raise WireError(f"no endpoint list has the id {number}")
+            members = self._endpoint_lists[number]
         self._deliver(
             sidecar, now, lambda: MembershipUpdate(kind, members, int(parts.get("stamp", "0"))), output
         )
@@ -97,14 +97,14 @@
         self._instances[sidecar] = Balancer(settings, int(parts["entropy"]))
 
     def _deliver(self, sidecar: int, now: float, make_event: Callable[[], Event], output: list[str]) -> None:
-        """Deliver an event to an instance; one for an unknown instance is ignored."""
+        """Deliver an event to an instance; an event for an unknown instance is ignored."""
         balancer = self._instances.get(sidecar)
         if balancer is None:
             return
         event = make_event()
         try:
             actions = balancer.handle(now, event)
-        except Exception as error:  # the wire reports any exception of the balancer
+        except Exception as error:  # any exception of the balancer is reported to the simulator
             output.append(format_fault(sidecar, error))
             return
         output += [format_action(sidecar, action) for action in actions]
--- a/indigokeel/simulation/wire.py
+++ b/indigokeel/simulation/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: parses events and formats actions. No I/O."""
+"""The protocol of the simulator: parses events and formats actions. No I/O."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from indigokeel.config import SettingsError, decode_settings
 from indigokeel.config.load_report_fields import LOAD_REPORT_FIELDS
 
-Parts = dict[str, str]  # a line's values by name
+Parts = dict[str, str]  # the values of a line, by name
 
 _STATES = {
     "SERVING": EndpointState.SERVING,
@@ -57,11 +57,11 @@
 
 
 class WireError(ValueError):
-    """A message that is not allowed on the wire."""
+    """A message that the simulator's protocol does not allow."""
 
 
 def parse_parts(line: str) -> Parts:
-    """Split the ``name=value`` parts of a line without free text."""
+    """Split a line into its ``name=value`` parts; the line must contain no free text."""
     try:
         return dict([part.split("=", 1) for part in line.split(" ")[1:]])
     except ValueError:
@@ -69,7 +69,7 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """Parse a load report; values of unknown names are ignored."""
+    """Parse a load report; figures with unknown names are ignored."""
     if not text or text == "-":
         return None
     figures: dict[str, float] = {}
@@ -101,7 +101,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Decode the settings of a start message."""
+    """Decode the settings of a SPAWN message."""
     try:
         return decode_settings(orjson.loads(text))
     except orjson.JSONDecodeError as error:
@@ -110,7 +110,7 @@
         raise WireError(str(error)) from None
 
 
-def _request(parts: Parts) -> Event:
+def _parse_request(parts: Parts) -> Event:
     return RequestArrived(
         id=parts["id"],
         class_name=parts["band"],
@@ -121,51 +121,51 @@
     )
 
 
-def _outcome(parts: Parts) -> AttemptOutcome:
+def _parse_outcome(parts: Parts) -> AttemptOutcome:
     code = parts["state-code"]
     if code not in _OUTCOMES:
         raise WireError(f"unknown state-code {code!r}")
     return _OUTCOMES[code]
 
 
-def _attempt(parts: Parts) -> Event:
+def _parse_attempt_result(parts: Parts) -> Event:
     return AttemptEnded(
         id=parts["id"],
         upstream=parts["upstream"],
         attempt=int(parts["try"]),
-        outcome=_outcome(parts),
+        outcome=_parse_outcome(parts),
         elapsed=float(parts["delay-seen-s"]),
         final=parts.get("final") == "1",
         load=parse_load(parts.get("feedback")),
     )
 
 
-def _probe(parts: Parts) -> Event:
+def _parse_health_check_result(parts: Parts) -> Event:
     return HealthCheckEnded(
         upstream=parts["upstream"],
-        outcome=_outcome(parts),
+        outcome=_parse_outcome(parts),
         elapsed=float(parts["delay-seen-s"]),
         load=parse_load(parts.get("feedback")),
     )
 
 
 EVENT_PARSERS: dict[str, Callable[[Parts], Event]] = {
-    "REQUEST": _request,
-    "REPORT_BACK": _attempt,
+    "REQUEST": _parse_request,
+    "REPORT_BACK": _parse_attempt_result,
     "DEADLINE_HIT": lambda parts: TimerFired(int(parts["handle"])),
     "LEFT": lambda parts: ClientDisconnected(parts["id"]),
     "OPENED": lambda parts: ResponseStarted(parts["id"], parts["upstream"], int(parts["try"])),
-    "ECHO": _probe,
+    "ECHO": _parse_health_check_result,
 }
 
 
 def format_time(seconds: float) -> str:
-    """Format a time with the wire's resolution of a microsecond."""
+    """Format a time with the resolution of the protocol, a microsecond."""
     return f"{seconds:.6f}".rstrip("0").rstrip(".")
 
 
 def format_text(text: str) -> str:
-    """Format free text, which may contain no line break."""
+    """Format free text, which must not contain line breaks."""
     return " ".join(text.split()) or "-"
 
 
@@ -179,7 +179,7 @@
     return f"id={action.id}{wait}"
 
 
-# The name of each action on the wire, and the values that follow it and the sidecar's number.
+# The name of each action in the protocol, and the formatter of the values after the sidecar number.
 _FORMATS: dict[type, tuple[str, Callable[[Any], str]]] = {
     SendAttempt: ("FORWARD", _format_send),
     SetTimer: ("SET_TIMER", lambda action: f"delay-s={format_time(action.delay)} handle={action.token}"),
@@ -195,11 +195,11 @@
 
 
 def format_action(sidecar: int, action: Action) -> str:
-    """Format one action as a line of the wire."""
+    """Format one action as a line of the protocol."""
     name, format_values = _FORMATS[type(action)]
     return f"{name} sidecar={sidecar} {format_values(action)}".rstrip()
 
 
 def format_fault(sidecar: int, error: Exception) -> str:
-    """Format an exception of the balancer as a line of the wire."""
+    """Format an exception of the balancer as a FATAL line."""
     return f"FATAL sidecar={sidecar} reason-text={format_text(f'{type(error).__name__}: {error}')}"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -164,13 +164,13 @@
     [
         ("garbage\n", "must begin with ROUND"),
         (START + "REQUEST sidecar=0\n", "ends within a batch"),
-        (START + "what is this\nYOUR_TURN\n", "not a message"),
+        (START + "what is this\nYOUR_TURN\n", "not a message of the simulator's protocol"),
         (START + "SPAWN sidecar=0 entropy=1 info={bad\nYOUR_TURN\n", "bad JSON"),
         (START + "SPAWN sidecar=0 entropy=1 info={}\nYOUR_TURN\n", "'classes' is missing"),
         (START + "SPAWN sidecar=0 entropy=1 info=[]\nYOUR_TURN\n", "not an object"),
         (START + "REQUEST sidecar=0 id\nYOUR_TURN\n", "without '='"),
-        (START + "SYNC sidecar=0 how=full stamp=1 roster-id=9\nYOUR_TURN\n", "no list has the number"),
-        (START + "POOL roster-id=0 rows=2\nYOUR_TURN\n", "breaks off"),
+        (START + "SYNC sidecar=0 how=full stamp=1 roster-id=9\nYOUR_TURN\n", "no endpoint list has the id 9"),
+        (START + "POOL roster-id=0 rows=2\nYOUR_TURN\n", "an endpoint list of 2 rows ends early"),
         ("ROUND round=1\nYOUR_TURN\n", "'moment-s' is missing"),
     ],
 )
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -1,4 +1,4 @@
-"""Decoding of the configuration file and its settings."""
+"""Tests of loading the configuration file and decoding its settings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 }
 
 
-def test_config(tmp_path: Path) -> None:
+def test_config_is_loaded_and_overridden_by_the_environment(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(CONFIG))
     config = load_config({"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.1:4000"})
@@ -37,7 +37,7 @@
         ({"listen": None}, None),
         ({"seed": "xyz"}, None),
         ({"settings": []}, "not an object"),
-        ({"settings": {"classes": 1}}, "wrong shape"),
+        ({"settings": {"classes": 1}}, r"settings\.classes: not a list"),
         ({"settings": {}}, "'classes' is missing"),
         ({"known": {"index": 1}}, "not an endpoint list"),
         *[
@@ -62,7 +62,7 @@
         ({"limits": 3}, None),
     ],
 )
-def test_bad_config(tmp_path: Path, change: dict[str, Any], message: str | None) -> None:
+def test_invalid_config_is_rejected(tmp_path: Path, change: dict[str, Any], message: str | None) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**CONFIG, **change}))
     with pytest.raises(ConfigError, match=message):
@@ -71,8 +71,8 @@
         load_config({})
 
 
-def test_settings_without_what_can_be_done_without_have_the_defaults() -> None:
-    least = {"classes": [{"name": "view", "objective-s": 0.5, "deadline-s": 1.0, "effect": "safe"}]}
+def test_missing_and_null_settings_have_defaults() -> None:
+    minimal = {"classes": [{"name": "view", "objective-s": 0.5, "deadline-s": 1.0, "effect": "safe"}]}
     optional = (
         "limits",
         "safety",
@@ -83,8 +83,8 @@
         "membership-mode",
         "weights",
     )
-    assert decode_settings(least) == decode_settings({**least, **dict.fromkeys(optional)})
-    assert decode_settings(least) == Settings(
+    assert decode_settings(minimal) == decode_settings({**minimal, **dict.fromkeys(optional)})
+    assert decode_settings(minimal) == Settings(
         classes=(ClassSettings("view", latency_objective=0.5, deadline=1.0, idempotency=Idempotency.SAFE),),
         limits=Limits(cancellation=False, hedging=False, max_attempts=1),
         load_report_source=LoadReportSource.NONE,
