--- a/tests/unit/endpoints/test_endpoint_list.py
+++ b/tests/unit/endpoints/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Decoding of endpoint lists and addresses."""
+"""Tests of decoding endpoint lists and addresses."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 @pytest.mark.parametrize("text", ["", "a", "a:", ":1", "a:0", "a:65536", "a:x", "a:٣"])
-def test_bad_addresses(text: str) -> None:
+def test_invalid_address_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="not an address"):
         parse_address(text)
 
 
 @pytest.mark.parametrize(("text", "address"), [("a:1", ("a", 1)), ("[::1]:30", ("::1", 30))])
-def test_addresses(text: str, address: tuple[str, int]) -> None:
+def test_address_is_split(text: str, address: tuple[str, int]) -> None:
     assert parse_address(text) == address
 
 
--- a/tests/unit/net/test_streams.py
+++ b/tests/unit/net/test_streams.py
@@ -1,4 +1,4 @@
-"""Flow control of long bodies in transit."""
+"""Tests of the flow control of long bodies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StreamEnds:
-    """The source, the sink and the reader of a stream."""
+    """A fake source, sink and reader of a stream."""
 
     def __init__(self) -> None:
         self.is_paused = False
@@ -22,7 +22,7 @@
         self.is_paused = True
 
     def resume(self) -> None:
-        """Read again (Source)."""
+        """Start reading again (Source)."""
         self.is_paused = False
 
     def has_disconnected(self) -> bool:
@@ -30,19 +30,19 @@
         return self.is_disconnected
 
     def is_writable(self) -> bool:
-        """Return whether more can be written (Sink)."""
+        """Return whether more can be written, unless ``is_full`` is set (Sink)."""
         return not self.is_full
 
     def write(self, chunks: list[bytes]) -> None:
-        """Keep a part of the body (Sink)."""
+        """Record a part of the body (Sink)."""
         self.written += b"".join(chunks)
 
     def body(self, pieces: list[bytes]) -> None:
-        """Keep a part of the body (Reader)."""
+        """Record a part of the body (Reader)."""
         self.write(pieces)
 
     def body_ended(self, whole: bool) -> None:
-        """Keep how the body ended (Reader)."""
+        """Record how the body ended (Reader)."""
         self.ended = "complete" if whole else "truncated"
 
 
@@ -62,7 +62,7 @@
     assert request_stream.is_fully_written and sink.written.endswith(b"y\r\n0\r\n\r\n")
 
 
-def test_discarded_request_stream_drops_what_follows() -> None:
+def test_discarded_request_stream_drops_later_data() -> None:
     source = StreamEnds()
     request_stream = RequestStream(source, 1 << 20, [])
     request_stream.add(b"x" * 70_000)
@@ -89,7 +89,7 @@
     )
 
 
-def test_ended_response_stream_leaves_its_source_reading() -> None:
+def test_ended_response_stream_resumes_its_source() -> None:
     source, reader = StreamEnds(), StreamEnds()
     stream = ResponseStream(source, 5)
     stream.attach(reader)
