--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -1,6 +1,6 @@
-"""Errors of system calls on upstream connections: local ones, those of an upstream, and retried ones.
+"""Tests of errors of system calls on upstream connections: local errors, errors of an upstream, and retries.
 
-They are forced at the call itself: in this process or, by ``sitecustomize``, in the program.
+The errors are injected at the system call, in this process or, through ``sitecustomize``, in the program.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 @pytest.fixture
 def harness() -> Iterator[PoolHarness]:
     """Return a pool harness that is checked and closed after the test."""
-    made = PoolHarness()
-    yield made
-    made.end()
+    pool_harness = PoolHarness()
+    yield pool_harness
+    pool_harness.end()
 
 
 LOCAL, UPSTREAM, GOES_ON = Meaning.LOCAL, Meaning.UPSTREAM, Meaning.GOES_ON
@@ -47,16 +47,16 @@
 EXHAUSTED = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-ROUTES = [errno.ENETUNREACH, errno.EHOSTUNREACH]
+ROUTE_ERRORS = [errno.ENETUNREACH, errno.EHOSTUNREACH]
 
 
 def failing_call(call: Callable[..., Any], number: int, times: int) -> Callable[..., Any]:
-    """Return a system call that fails some times before it is made."""
-    left = [times]
+    """Return a system call that fails ``times`` times before it is executed."""
+    failures_left = [times]
 
     def failing(*args: Any) -> Any:
-        if left[0] > 0:
-            left[0] -= 1
+        if failures_left[0] > 0:
+            failures_left[0] -= 1
             raise OSError(number, os.strerror(number))
         return call(*args)
 
@@ -64,31 +64,31 @@
 
 
 def break_connect(step: str, number: int, times: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Make one of the calls that a connect consists of fail."""
+    """Make one of the system calls of a connect fail."""
     if step == "fstat":
         monkeypatch.setattr("os.fstat", failing_call(os.fstat, number, times))
     elif step == "socket":
         real_socket = socket.socket
-        scarce = failing_call(real_socket, number, times)
+        failing_socket = failing_call(real_socket, number, times)
         monkeypatch.setattr(
-            "socket.socket",  # a connection's, and none of the event loop's own
-            lambda *args: (scarce if args[:1] == (socket.AF_INET,) and len(args) == 2 else real_socket)(
-                *args
-            ),
+            "socket.socket",  # fails for upstream connections, not for the event loop
+            lambda *args: (
+                failing_socket if args[:1] == (socket.AF_INET,) and len(args) == 2 else real_socket
+            )(*args),
         )
     elif step in ("connect", "interrupted"):
-        real, left = socket.socket.connect_ex, [times]
+        real_call, failures_left = socket.socket.connect_ex, [times]
 
         def connect_ex(sock: socket.socket, address: Any) -> int:
-            left[0] -= 1
-            if left[0] < 0:
-                return real(sock, address)
-            return number if step == "connect" else real(sock, address) and number
+            failures_left[0] -= 1
+            if failures_left[0] < 0:
+                return real_call(sock, address)
+            return number if step == "connect" else real_call(sock, address) and number
 
         monkeypatch.setattr(socket.socket, "connect_ex", connect_ex)
     else:
         failing = failing_call(getattr(socket.socket, step), number, times)
-        if step == "getsockopt":  # the error that a connect in progress ended with
+        if step == "getsockopt":  # the error with which a connect in progress ended
 
             def socket_error(sock: socket.socket, *args: int) -> int:
                 try:
@@ -101,42 +101,45 @@
             monkeypatch.setattr(socket.socket, step, failing)
 
 
-OPENS = [
+CONNECT_ERRORS = [
     *(("socket", number, LOCAL) for number in EXHAUSTED),
     *(("setsockopt", number, LOCAL) for number in (errno.ENOBUFS, errno.ENOMEM)),
     ("fstat", errno.ENOMEM, LOCAL),
-    *(("connect", number, LOCAL) for number in (errno.EADDRNOTAVAIL, *ROUTES, errno.ENOBUFS, errno.EAGAIN)),
+    *(
+        ("connect", number, LOCAL)
+        for number in (errno.EADDRNOTAVAIL, *ROUTE_ERRORS, errno.ENOBUFS, errno.EAGAIN)
+    ),
     ("connect", errno.ECONNREFUSED, UPSTREAM),
     ("interrupted", errno.EINTR, GOES_ON),
     *(("getsockopt", number, LOCAL) for number in (errno.EADDRNOTAVAIL, errno.ENOMEM)),
-    *(("getsockopt", number, UPSTREAM) for number in (*ROUTES, errno.ETIMEDOUT, errno.ECONNREFUSED)),
+    *(("getsockopt", number, UPSTREAM) for number in (*ROUTE_ERRORS, errno.ETIMEDOUT, errno.ECONNREFUSED)),
     ("getsockopt", errno.EINTR, GOES_ON),
 ]
 
 
-@pytest.mark.parametrize(("step", "number", "found"), OPENS)
-def test_connect_over_errors(
-    harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, step: str, number: int, found: Meaning
+@pytest.mark.parametrize(("step", "number", "expected"), CONNECT_ERRORS)
+def test_connect_with_errors(
+    harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, step: str, number: int, expected: Meaning
 ) -> None:
-    """Six failures of an upstream open its circuit; six local ones only prolong the wait."""
+    """Six failures of an upstream open its circuit breaker; six local errors only prolong the wait."""
     break_connect(step, number, 6, monkeypatch)
     for _ in range(6):
         harness.acquire()
         harness.until(lambda: not harness.pool.waiting())
         harness.step(2)
     monkeypatch.undo()
-    came_up = sum(isinstance(connection, UpstreamConnection) for connection in harness.ready)
-    assert came_up == (0 if found is UPSTREAM else 6)
-    assert harness.counts["circuit_breakers_opened"] == (found is UPSTREAM)
-    assert bool(harness.counts["connects_failed"]) == (found is UPSTREAM)
+    connected = sum(isinstance(connection, UpstreamConnection) for connection in harness.ready)
+    assert connected == (0 if expected is UPSTREAM else 6)
+    assert harness.counts["circuit_breakers_opened"] == (expected is UPSTREAM)
+    assert bool(harness.counts["connects_failed"]) == (expected is UPSTREAM)
     harness.check_table()
 
 
 @pytest.mark.parametrize("number", [errno.EADDRNOTAVAIL, errno.ENFILE, errno.EHOSTUNREACH])
-def test_wait_that_ends_with_a_local_error_reports_it(
+def test_waiter_that_times_out_after_a_local_error_reports_it(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    """No upstream counts as failed, also where a connect could start at last and had no time left."""
+    """No upstream counts as failed, even if a connect could start in the end but had no time left."""
     break_connect("connect", number, 10**6, monkeypatch)
     harness.acquire(timeout_s=0.03)
     harness.until(lambda: harness.ready == [ConnectFailure.LOCAL])
@@ -148,22 +151,22 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
-def test_bytes_are_complete_and_in_order_over_failed_calls(
+def test_bytes_are_complete_and_in_order_after_failed_calls(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
     connection = harness.connection()
     harness.accept()
-    peer, echo, got = harness.accepted[0], connection.handler, bytearray()
+    peer, echo, received_data = harness.accepted[0], connection.handler, bytearray()
     assert isinstance(echo, RecordingHandler)
     peer.setblocking(False)
-    pieces = [bytes([i % 251]) * 301 for i in range(5000)]  # more than a system takes in one call
+    pieces = [bytes([i % 251]) * 301 for i in range(5000)]  # more than the system accepts in one call
     monkeypatch.setattr("os.writev", failing_call(os.writev, number, 5))
     assert connection.write(pieces)
-    while len(got) < 301 * 5000:
+    while len(received_data) < 301 * 5000:
         harness.step()
         with contextlib.suppress(BlockingIOError):
-            got += peer.recv(1 << 20)
-    assert got == b"".join(pieces) and not connection.has_unsent_data()
+            received_data += peer.recv(1 << 20)
+    assert received_data == b"".join(pieces) and not connection.has_unsent_data()
     monkeypatch.setattr(socket.socket, "recv", failing_call(socket.socket.recv, number, 5))
     peer.send(b"heard")
     harness.until(lambda: echo.received == b"heard")
@@ -171,15 +174,15 @@
 
 
 def run_client(
-    scripts: int, work: Callable[[UpstreamClient, RequestCoordinator, Counters], Any]
+    count: int, work: Callable[[UpstreamClient, RequestCoordinator, Counters], Any]
 ) -> tuple[Any, list[peers.Peer]]:
-    """Run something with a client of some upstreams."""
-    upstreams = [peers.Peer(peers.echo) for _ in range(scripts)]
+    """Run ``work`` with an upstream client for ``count`` upstreams; return its result and the upstreams."""
+    upstreams = [peers.Peer(peers.echo) for _ in range(count)]
     coordinator, counters = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0), Counters("t")
     entries = [peers.entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)]
     coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
 
-    async def inside() -> Any:
+    async def run_work() -> Any:
         return await work(
             UpstreamClient(coordinator, counters, UpstreamClientOptions(0.25, 30.0, 32)),
             coordinator,
@@ -187,16 +190,16 @@
         )
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        found = runner.run(inside())
+        result = runner.run(run_work())
     for upstream in upstreams:
         upstream.close()
-    return found, upstreams
+    return result, upstreams
 
 
 async def send_attempt(
     client: UpstreamClient, coordinator: RequestCoordinator, name: str, body: list[bytes]
 ) -> AttemptOutcome:
-    """Send one attempt of a request of an unsafe class."""
+    """Send one attempt of a request of an unsafe class; return its outcome."""
     attempt = coordinator.pick(time.monotonic(), Request(name, "pay", 60.0)).attempts[0]
     done: asyncio.Future[AttemptOutcome] = asyncio.get_running_loop().create_future()
     outbound = OutboundRequest(b"POST", b"/pay/k", name.encode(), None, body, True, unsafe=True)
@@ -206,12 +209,12 @@
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
 @pytest.mark.parametrize(
-    ("times", "outcome", "got"), [(3, AttemptOutcome.OK, 1), (10**6, AttemptOutcome.NOT_SENT, 0)]
+    ("times", "outcome", "received_count"), [(3, AttemptOutcome.OK, 1), (10**6, AttemptOutcome.NOT_SENT, 0)]
 )
-def test_first_write_that_fails_locally(
-    monkeypatch: pytest.MonkeyPatch, number: int, times: int, outcome: AttemptOutcome, got: int
+def test_attempt_whose_first_write_fails_locally_is_retried(
+    monkeypatch: pytest.MonkeyPatch, number: int, times: int, outcome: AttemptOutcome, received_count: int
 ) -> None:
-    """Nothing was written, so it is retried, and ends as not sent if that does not help."""
+    """No byte was written, so the write is retried; the attempt ends as not sent if it keeps failing."""
 
     async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> int:
         monkeypatch.setattr("os.writev", failing_call(os.writev, number, times))
@@ -219,18 +222,18 @@
         return counters["writes_not_begun"]
 
     tries, upstreams = run_client(1, work)
-    assert len(upstreams[0].got) == got and tries >= 3
+    assert len(upstreams[0].got) == received_count and tries >= 3
 
 
-def test_partly_written_attempt_that_fails_locally(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its last byte was never written, so it did not run, and the upstream has not failed."""
-    real, calls = os.writev, [0]
+def test_partly_written_attempt_that_fails_locally_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last byte was never written, so the request did not run, and the upstream has not failed."""
+    real_call, calls = os.writev, [0]
 
     def writev(fd: int, pieces: list[bytes]) -> int:
         calls[0] += 1
         if calls[0] > 1:
             raise OSError(errno.ENOBUFS, "no buffers")
-        return real(fd, [bytes(pieces[0])[:10]])
+        return real_call(fd, [bytes(pieces[0])[:10]])
 
     async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         monkeypatch.setattr("os.writev", writev)
@@ -242,11 +245,12 @@
 
 @pytest.mark.parametrize(("times", "outcome"), [(3, AttemptOutcome.OK), (10**6, AttemptOutcome.NOT_SENT)])
 @pytest.mark.parametrize("step", ["connect", "write"])
-def test_health_check_over_local_errors(
+def test_health_check_with_local_errors(
     monkeypatch: pytest.MonkeyPatch, step: str, times: int, outcome: AttemptOutcome
 ) -> None:
     if step == "write" and times == 3:
-        times, outcome = 1, AttemptOutcome.NOT_SENT  # a health check is not retried: the next one is due soon
+        # A health check is not retried, as the next one is due soon.
+        times, outcome = 1, AttemptOutcome.NOT_SENT
 
     async def work(client: UpstreamClient, coordinator: RequestCoordinator, counters: Counters) -> None:
         if step == "connect":
@@ -259,7 +263,7 @@
     run_client(1, work)
 
 
-CUSTOM = """
+SITECUSTOMIZE = """
 import socket
 real, left = socket.socket.connect_ex, [{times}]
 def connect_ex(sock, address):
@@ -278,9 +282,9 @@
         f"real(sock, address) and {errno.EINTR}",  # a connect that continues
     ],
 )
-def test_connects_that_fail_locally_cost_no_request_and_no_upstream(tmp_path: Path, answer: str) -> None:
-    """24 local failures open no circuit, eject no upstream and leave all of 200 requests served."""
-    (tmp_path / "sitecustomize.py").write_text(CUSTOM.format(times=24, answer=answer))
+def test_locally_failing_connects_fail_no_request_and_eject_no_upstream(tmp_path: Path, answer: str) -> None:
+    """24 local failures open no circuit breaker and eject no upstream; all 200 requests are served."""
+    (tmp_path / "sitecustomize.py").write_text(SITECUSTOMIZE.format(times=24, answer=answer))
     with peers.running(tmp_path, *[peers.echo] * 4, PYTHONPATH=str(tmp_path)) as (program, upstreams, _):
         with ThreadPoolExecutor(16) as clients:
             codes = list(clients.map(lambda _: program.ask(peers.request("pay", b"x"))[0], range(200)))
