--- a/indigokeel/hot_restart/learned_state.py
+++ b/indigokeel/hot_restart/learned_state.py
@@ -20,7 +20,7 @@
 MAX_UPSTREAMS = 300  # of a larger fleet a sidecar uses a subset only, and learns little about each upstream
 MAX_KEYS = 200
 MAX_RESTORED_REPORTS = 2 * MIN_AVERAGED_REPORTS
-MAX_EJECTION_S = 60.0  # a longer stored ejection is not restored in full
+MAX_EJECTION_S = 60.0  # stored ejections that exceed this are not trusted
 STORED_UPSTREAM_VALUES = 4  # in addition to the start time
 MAX_START_DIFFERENCE_S = 0.001  # between the stored and the listed time of the same start
 
--- a/indigokeel/hot_restart/state_files.py
+++ b/indigokeel/hot_restart/state_files.py
@@ -2,8 +2,8 @@
 
 Each process has two files at a time. One holds all of its state and is written once a second. The other holds
 the cordons alone; it is on disk (synced, renamed, and the folder synced) before an operator's call is
-answered with success, so it survives a loss of power. Each is written under a new name, renamed once it is
-complete, and only then is its predecessor removed: some file systems (ext4) flush a file to disk when it
+answered with success, so it survives a loss of power. Each is written under a temporary name, renamed once it
+is complete, and only then is its predecessor removed: some file systems (ext4) flush a file to disk when it
 replaces another, which would block the process for up to a quarter of a second.
 
 A file name holds a number, one more than the highest in the folder, and the process id. The higher number is
@@ -85,7 +85,8 @@
 
     def _read_bytes(self, name: str) -> bytes | None:
         """Return the bytes of a file, or None if it is not a regular file or too large."""
-        # Symbolic links are not followed, and a pipe without a writer must not block this process.
+        # Symbolic links must not lead out of the folder, and a pipe without a writer must not block this
+        # process.
         flags = os.O_RDONLY | os.O_NOFOLLOW | os.O_NONBLOCK | os.O_CLOEXEC
         try:
             fd = os.open(self._folder / name, flags)
