--- a/indigokeel/net/admin.py
+++ b/indigokeel/net/admin.py
@@ -139,7 +139,7 @@
             self._check_size()
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._answer_error(RequestError.of(error))
+            self._answer_error(RequestError.from_parser_error(error))
         except RequestError as error:
             self._answer_error(error)
         except Exception as error:  # an internal error fails this call and no other
@@ -165,7 +165,7 @@
 
     def on_headers_complete(self) -> None:
         """Check the framing, and send 100 Continue if the caller waits for it."""
-        http.one_framing(self._headers)
+        http.check_framing(self._headers)
         if self._headers.get(b"expect", b"").lower() == b"100-continue":
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -218,7 +218,7 @@
             return
         self._parser = None
         self._count(status)
-        head, *body = http.response(status, [text.encode() + b"\n"], close=True)
+        head, *body = http.format_response(status, [text.encode() + b"\n"], close=True)
         self._transport.write(b"".join([head, *body]) if has_body else head)
         if self._transport.can_write_eof():
             self._transport.write_eof()
--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -173,7 +173,7 @@
             async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self._address)
             self._connections[writer] = writer.get_extra_info("socket").fileno()
-            writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target, http.host(self._address)))
+            writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target, http.format_host(self._address)))
             response = _DiscoveryResponse(reader)
             async with asyncio.timeout(timeout_s):
                 await response.read_head()
--- a/indigokeel/net/downstream/client_connection.py
+++ b/indigokeel/net/downstream/client_connection.py
@@ -127,11 +127,11 @@
 
     def is_idle(self) -> bool:
         """Return whether the connection waits for its first or next request and has no unread input."""
-        return self._dispatcher.is_idle() and not http.readable(self.fd)
+        return self._dispatcher.is_idle() and not http.is_readable(self.fd)
 
     def has_unread_input(self) -> bool:
         """Return whether input is waiting that will get a response and is not being served yet."""
-        return not self.ended and (not self._input.pipeline.is_empty() or http.readable(self.fd))
+        return not self.ended and (not self._input.pipeline.is_empty() or http.is_readable(self.fd))
 
     def has_unwritten_output(self) -> bool:
         """Return whether a close now would lose output."""
@@ -147,14 +147,14 @@
         Unread input counts as progress.
         """
         stalled_s = 0.0 if self.busy or self.ended else self._input.stalled_for(now)
-        return 0.0 if stalled_s == 0.0 or http.readable(self.fd) else stalled_s
+        return 0.0 if stalled_s == 0.0 or http.is_readable(self.fd) else stalled_s
 
     def has_disconnected(self) -> bool:
         """Return whether the operating system reports a disconnect, and if so drop the client's requests.
 
         The event loop may not have read the end of the stream yet.
         """
-        if not self.ended and http.hung_up(self.fd):
+        if not self.ended and http.peer_has_disconnected(self.fd):
             self._on_disconnected()
         return self.ended
 
@@ -165,7 +165,7 @@
 
         While reading is paused, the event loop does not report a disconnect, so the system is asked here.
         """
-        if self._input.flow.paused_at and http.hung_up(self.fd):
+        if self._input.flow.paused_at and http.peer_has_disconnected(self.fd):
             self._on_disconnected()
             self.abort()
             return
@@ -192,7 +192,7 @@
             self._dispatcher.process_pipeline()
         elif overdue is not AwaitedEvent.NEXT_REQUEST:
             self.abort()
-        elif not http.readable(self.fd):  # else the next request has arrived
+        elif not http.is_readable(self.fd):  # else the next request has arrived
             self._counters.add("clients_idle" if self.has_received_data else "clients_silent")
             self._end()
 
--- a/indigokeel/net/downstream/connection_close.py
+++ b/indigokeel/net/downstream/connection_close.py
@@ -74,4 +74,4 @@
 
         It is 0 without unread input, for then a close does not reset the connection.
         """
-        return http.unsent(fd) if http.readable(fd) else 0
+        return http.unacknowledged_bytes(fd) if http.is_readable(fd) else 0
--- a/indigokeel/net/downstream/flow_control.py
+++ b/indigokeel/net/downstream/flow_control.py
@@ -147,7 +147,7 @@
         """Resume reading; the pause does not count towards the client's timeouts."""
         self._timeouts.exclude_pause(self.paused_at, time.monotonic())
         # The deadline of a request that arrived during the pause has been running since then.
-        if http.readable(self._transport.get_extra_info("socket").fileno()):
+        if http.is_readable(self._transport.get_extra_info("socket").fileno()):
             self._backlog_since = self.paused_at
         self.resume()
 
--- a/indigokeel/net/downstream/request_handler.py
+++ b/indigokeel/net/downstream/request_handler.py
@@ -30,13 +30,13 @@
         ``close`` tells the client that the connection ends with this response.
         """
         body = self.response.body if self.response is not None else None
-        return http.response(_STATUS_CODES[self.status], body or [], self.retry_after_s, close)
+        return http.format_response(_STATUS_CODES[self.status], body or [], self.retry_after_s, close)
 
 
 def encode_error(error: RequestError, close: bool) -> bytes:
     """Return the response that tells a client why its request cannot be served."""
     text = str(error).encode()
-    return b"".join(http.response(error.status, [text + b"\n"] if text else [], close=close))
+    return b"".join(http.format_response(error.status, [text + b"\n"] if text else [], close=close))
 
 
 class RequestHandler(Protocol[ConnectionT]):
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -171,10 +171,10 @@
         """Check the head's size and framing. Raises RequestError if either is not acceptable."""
         if len(self._target) + sum(map(len, self._headers.values())) > http.MAX_HEAD:
             raise RequestError(431, "the head is too large")
-        http.one_framing(self._headers)
+        http.check_framing(self._headers)
         content_length = self._headers.get(b"content-length")
         self._content_length = -1 if content_length is None else int(content_length)
-        if self._content_length > http.MOST_BODY:
+        if self._content_length > http.MAX_REQUEST_BODY:
             raise RequestError(413, "the body is too large")
 
     def _reject(self, error: RequestError) -> None:
@@ -190,20 +190,20 @@
         """Buffer, stream or discard a part of the body. Raises RequestError if the body is too large."""
         self.body_bytes += len(data)
         if self.request_stream is not None or self.already_responded:
-            if self.body_bytes > http.MOST_BODY:
+            if self.body_bytes > http.MAX_REQUEST_BODY:
                 raise RequestError(413, "the body is too large")
             if self.request_stream is not None:
                 self.request_stream.add(data)
         elif self._received is not None:
             self._buffer(self._received, data)
-        elif self.body_bytes > http.MAX_BODY:
+        elif self.body_bytes > http.MAX_BUFFERED_BODY:
             self._reject(RequestError(413, "the body is too large"))
 
     def _buffer(self, received: ReceivedRequest, data: bytes) -> None:
         """Append to a body; stream it once it is too long to be buffered."""
         outbound = received.outbound
         outbound.body.append(data)
-        if self.body_bytes > http.MAX_BODY:
+        if self.body_bytes > http.MAX_BUFFERED_BODY:
             self.request_stream = RequestStream(self._events, self._content_length, outbound.body)
             outbound.request_stream = self.request_stream
             outbound.body = []
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -54,7 +54,7 @@
 
     def write_health(self, healthy: bool, close: bool) -> None:
         """Write the response to a health check; ``close`` if the connection ends with it."""
-        self._transport.write(http.head(200 if healthy else 503, 0, close=close))
+        self._transport.write(http.format_response_head(200 if healthy else 503, 0, close=close))
 
     def write_error(self, error: RequestError, close: bool) -> None:
         """Write the response to a request that cannot be served."""
@@ -76,22 +76,24 @@
         """Write the head; the body follows as it arrives."""
         self._stream = stream
         self._timeouts.restart(time.monotonic())
-        self._transport.write(http.head(200, stream.length, close=close))
+        self._transport.write(http.format_response_head(200, stream.length, close=close))
         stream.attach(self)
 
     def body(self, chunks: http.Body) -> None:
         """Write a part of the streamed body."""
         assert self._stream is not None
         self._timeouts.restart(time.monotonic())
-        self._transport.write(b"".join(http.chunk(chunks, False) if self._stream.length < 0 else chunks))
+        self._transport.write(
+            b"".join(http.encode_chunk(chunks, False) if self._stream.length < 0 else chunks)
+        )
 
-    def body_ended(self, whole: bool) -> None:
+    def body_ended(self, is_complete: bool) -> None:
         """End the streamed response, which is incomplete unless ``whole``."""
         stream = self._stream
         self._stream = None
         if stream is None:
             return
-        if not whole:
+        if not is_complete:
             self._counters.add("answers_cut_off")
             self._events.on_response_truncated()
             return
--- a/indigokeel/net/http.py
+++ b/indigokeel/net/http.py
@@ -21,8 +21,8 @@
 from indigokeel.config.load_report_fields import LOAD_REPORT_FIELDS
 
 MAX_HEAD = 16 * 1024  # bytes of the head of a message
-MAX_BODY = 64 * 1024  # bytes of a body that is buffered whole; a longer one is streamed
-MOST_BODY = 40 << 20  # bytes of the body of a request; a longer one is rejected
+MAX_BUFFERED_BODY = 64 * 1024  # bytes of a body that is buffered whole; a longer one is streamed
+MAX_REQUEST_BODY = 40 << 20  # bytes of the body of a request; a longer one is rejected
 
 Body = list[bytes]  # the chunks of a body, as received
 
@@ -35,12 +35,12 @@
 _STATUS_LINES = {s.value: b"HTTP/1.1 %d %s\r\n" % (s.value, s.phrase.encode()) for s in HTTPStatus}
 
 
-def readable(fd: int) -> bool:
+def is_readable(fd: int) -> bool:
     """Return whether data or the end of the stream can be read without blocking."""
     return _has_event(fd, select.POLLIN)
 
 
-def hung_up(fd: int) -> bool:
+def peer_has_disconnected(fd: int) -> bool:
     """Return whether the peer has closed its side or reset the connection, even if unread data remains."""
     return _has_event(fd, select.POLLRDHUP)
 
@@ -55,7 +55,7 @@
         return False
 
 
-def unsent(fd: int) -> int:
+def unacknowledged_bytes(fd: int) -> int:
     """Return the number of written bytes that the peer has not acknowledged yet (TCP)."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
@@ -71,13 +71,13 @@
         self.status = status
 
     @classmethod
-    def of(cls, error: Exception) -> RequestError:
+    def from_parser_error(cls, error: Exception) -> RequestError:
         """Return the error raised in a callback of the parser, or one with status 400 for a parse error."""
         cause = error.__context__
         return cause if isinstance(cause, cls) else cls(400, str(error))
 
 
-def one_framing(headers: Mapping[bytes, bytes]) -> None:
+def check_framing(headers: Mapping[bytes, bytes]) -> None:
     """Raise RequestError if a message states its length in two ways.
 
     An upstream that prefers the other length would find a second request in the body (request smuggling).
@@ -86,7 +86,7 @@
         raise RequestError(400, "both Content-Length and Transfer-Encoding")
 
 
-def head(status: int, length: int, retry_after_s: float = 0.0, close: bool = False) -> bytes:
+def format_response_head(status: int, length: int, retry_after_s: float = 0.0, close: bool = False) -> bytes:
     """Return the head of a response; ``length`` is the size of the body in bytes, or -1 if it is chunked."""
     headers = b"Content-Length: %d\r\n" % length if length >= 0 else b"Transfer-Encoding: chunked\r\n"
     if retry_after_s > 0.0:
@@ -94,19 +94,19 @@
     return _STATUS_LINES[status] + headers + (b"Connection: close\r\n\r\n" if close else b"\r\n")
 
 
-def response(status: int, body: Body, retry_after_s: float = 0.0, close: bool = False) -> list[bytes]:
+def format_response(status: int, body: Body, retry_after_s: float = 0.0, close: bool = False) -> list[bytes]:
     """Return a complete response, its head first."""
-    return [head(status, sum(map(len, body)), retry_after_s, close), *body]
+    return [format_response_head(status, sum(map(len, body)), retry_after_s, close), *body]
 
 
-def chunk(pieces: Sequence[bytes], last: bool) -> list[bytes]:
+def encode_chunk(pieces: Sequence[bytes], last: bool) -> list[bytes]:
     """Return parts of a body encoded as one chunk, followed by the terminating chunk if ``last``."""
     size = sum(map(len, pieces))
     framed = [b"%x\r\n" % size, *pieces, b"\r\n"] if size else []
     return [*framed, b"0\r\n\r\n"] if last else framed
 
 
-def host(address: tuple[str, int]) -> bytes:
+def format_host(address: tuple[str, int]) -> bytes:
     """Return an address as the value of a ``Host`` header."""
     return f"{address[0]}:{address[1]}".encode()
 
--- a/indigokeel/net/streams.py
+++ b/indigokeel/net/streams.py
@@ -1,6 +1,6 @@
 """Streams of long bodies between client and upstream, with flow control. No I/O.
 
-A body of at most ``http.MAX_BODY`` bytes is buffered whole instead.
+A body of at most ``http.MAX_BUFFERED_BODY`` bytes is buffered whole instead.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
     def body(self, pieces: http.Body) -> None:
         """Handle a part of the body."""
 
-    def body_ended(self, whole: bool) -> None:
+    def body_ended(self, is_complete: bool) -> None:
         """Handle the end of the body, which is truncated unless ``whole``."""
 
 
@@ -171,7 +171,7 @@
         self._buffered = []
         self._buffered_bytes = 0
         if self.length < 0:
-            chunks = http.chunk(chunks, self.is_complete)
+            chunks = http.encode_chunk(chunks, self.is_complete)
         self.is_fully_written = self.is_complete
         if chunks:
             sink.write(chunks)
--- a/indigokeel/net/upstream/response_parser.py
+++ b/indigokeel/net/upstream/response_parser.py
@@ -88,7 +88,7 @@
             self._skip_interim_response(status)
             return
         self._check_framing(status)
-        if status != 200 and self.length > http.MAX_BODY:
+        if status != 200 and self.length > http.MAX_BUFFERED_BODY:
             raise InvalidResponseError("the body of an error response is too large")
         self.status = status
 
@@ -97,7 +97,7 @@
         if self.complete:
             return
         self._body_bytes += len(data)
-        if self._body_bytes > http.MAX_BODY and self.status != 200:
+        if self._body_bytes > http.MAX_BUFFERED_BODY and self.status != 200:
             raise InvalidResponseError("the body of an error response is too large")
         self.body.append(data)
 
@@ -118,7 +118,7 @@
             return False
         if self.length < 0:
             return self._body_bytes > _STREAM_THRESHOLD_BYTES
-        return self.length > http.MAX_BODY
+        return self.length > http.MAX_BUFFERED_BODY
 
     def take_body(self) -> http.Body:
         """Remove and return the parts of the body received since the last call."""
--- a/indigokeel/net/upstream/upstream_exchange.py
+++ b/indigokeel/net/upstream/upstream_exchange.py
@@ -36,7 +36,7 @@
     )  # fmt: skip
 
     def __init__(self, connection: UpstreamConnection) -> None:
-        self.host = http.host(connection.address)
+        self.host = http.format_host(connection.address)
         self.has_unexpected_bytes = False  # belonging to no response, so the connection cannot be reused
         self._connection = connection
         self._call: Call | None = None
--- a/tests/unit/net/test_streams.py
+++ b/tests/unit/net/test_streams.py
@@ -41,9 +41,9 @@
         """Record a part of the body (Reader)."""
         self.write(pieces)
 
-    def body_ended(self, whole: bool) -> None:
+    def body_ended(self, is_complete: bool) -> None:
         """Record how the body ended (Reader)."""
-        self.ended = "complete" if whole else "truncated"
+        self.ended = "complete" if is_complete else "truncated"
 
 
 def test_request_stream_pauses_its_source_while_its_sink_is_full() -> None:
--- a/tests/unit/net/upstream/test_response_parser.py
+++ b/tests/unit/net/upstream/test_response_parser.py
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("size", [1, 3, 7, 100, 5000])
 def test_chunked_response_in_parts_of_any_size_leaves_the_connection_reusable(size: int) -> None:
     raw = b"HTTP/1.1 200 OK \r\nServer-Load:  util=0.5 \r\nTransfer-Encoding: \t chunked \r\n\r\n"
-    raw += b"".join(http.chunk([BODY], False)) + b"0\r\n\r\n"
+    raw += b"".join(http.encode_chunk([BODY], False)) + b"0\r\n\r\n"
     parser = ResponseParser()
     for start in range(0, len(raw), size):
         parser.feed(raw[start : start + size])
