--- a/indigokeel/net/downstream/listener.py
+++ b/indigokeel/net/downstream/listener.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from indigokeel.metrics import Counters
-from indigokeel.net.errors import Meaning, Step, meaning
+from indigokeel.net.errors import ErrorCategory, SocketOperation, classify_errno
 
 BACKLOG = 512  # connections that the system queues before they are accepted
 MAX_ACCEPTS_PER_TURN = 32  # calls of ``accept`` in one turn of the event loop
@@ -103,7 +103,7 @@
             except (OSError, MemoryError) as error:
                 self._record(error)
                 number = error.errno if isinstance(error, OSError) else None
-                if meaning(number, Step.ACCEPT) is Meaning.LOCAL:
+                if classify_errno(number, SocketOperation.ACCEPT) is ErrorCategory.LOCAL:
                     return _BatchResult.FAILED
                 continue
             accepted += 1
--- a/indigokeel/net/errors.py
+++ b/indigokeel/net/errors.py
@@ -1,4 +1,4 @@
-"""Classifies errors of system calls on sockets by step and errno. No I/O.
+"""Classifies errors of system calls on sockets by operation and errno. No I/O.
 
 Some errors are not failures: the call is in progress or has to be repeated (EINTR, EAGAIN, EINPROGRESS). Some
 are local: this machine lacks a descriptor, memory, a port or a route, which says nothing about the upstream,
@@ -13,25 +13,25 @@
 from enum import Enum
 
 
-class Step(Enum):
-    """The step in the life of a connection in which the system call was made."""
+class SocketOperation(Enum):
+    """The operation on a socket during which the error occurred."""
 
     __hash__ = object.__hash__
 
     PREPARE = "prepare"  # socket, setsockopt, fstat, getsockopt, registration with the event loop
     CONNECT = "connect"  # connect(2) itself
-    CONNECTING = "connecting"  # the error with which a connect in progress ended (SO_ERROR)
+    CONNECT_RESULT = "connect result"  # the error with which a connect in progress ended (SO_ERROR)
     WRITE = "write"
     READ = "read"
     ACCEPT = "accept"  # of a client connection
 
 
-class Meaning(Enum):
-    """What an error means for the connection."""
+class ErrorCategory(Enum):
+    """The category of an error: what it means for the connection."""
 
     __hash__ = object.__hash__
 
-    GOES_ON = "goes on"  # not a failure: the call is repeated or completes by itself
+    NO_FAILURE = "no failure"  # not a failure: the call is repeated or completes by itself
     LOCAL = "local"  # a failure of this machine
     UPSTREAM = "upstream"  # a failure of the upstream or of the network path to it
 
@@ -74,13 +74,15 @@
 }
 
 _NOT_FAILURES = {
-    Step.PREPARE: frozenset({errno.EINTR}),
+    SocketOperation.PREPARE: frozenset({errno.EINTR}),
     # A connect that a signal interrupts continues asynchronously (POSIX, connect).
-    Step.CONNECT: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EISCONN}),
-    Step.CONNECTING: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EAGAIN}),
-    Step.WRITE: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
-    Step.READ: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
-    Step.ACCEPT: frozenset(_ACCEPT_SINGLE_CONNECTION),
+    SocketOperation.CONNECT: frozenset({0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EISCONN}),
+    SocketOperation.CONNECT_RESULT: frozenset(
+        {0, errno.EINPROGRESS, errno.EINTR, errno.EALREADY, errno.EAGAIN}
+    ),
+    SocketOperation.WRITE: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
+    SocketOperation.READ: frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR}),
+    SocketOperation.ACCEPT: frozenset(_ACCEPT_SINGLE_CONNECTION),
 }
 
 # EHOSTUNREACH and ENETUNREACH from connect(2) itself mean that this machine has no route. Once the connect is
@@ -88,36 +90,36 @@
 # open connection they are failures of the upstream, like ETIMEDOUT and ECONNRESET. EADDRNOTAVAIL is always
 # local.
 _LOCAL = {
-    Step.CONNECT: _CONNECT_LOCAL,
-    Step.CONNECTING: EXHAUSTED | {errno.EADDRNOTAVAIL},
-    Step.WRITE: EXHAUSTED,
-    Step.READ: EXHAUSTED,
+    SocketOperation.CONNECT: _CONNECT_LOCAL,
+    SocketOperation.CONNECT_RESULT: EXHAUSTED | {errno.EADDRNOTAVAIL},
+    SocketOperation.WRITE: EXHAUSTED,
+    SocketOperation.READ: EXHAUSTED,
 }
 
 
-def meaning(number: int | None, step: Step) -> Meaning:
-    """Return the meaning of an errno at a step; None means a timeout."""
-    if number in _NOT_FAILURES[step]:
-        return Meaning.GOES_ON
+def classify_errno(number: int | None, operation: SocketOperation) -> ErrorCategory:
+    """Return the category of an errno in an operation; None means a timeout."""
+    if number in _NOT_FAILURES[operation]:
+        return ErrorCategory.NO_FAILURE
     # All other errors before a connect or in an accept are local, as no upstream is involved.
-    if step in (Step.PREPARE, Step.ACCEPT) or number in _LOCAL[step]:
-        return Meaning.LOCAL
-    return Meaning.UPSTREAM
+    if operation in (SocketOperation.PREPARE, SocketOperation.ACCEPT) or number in _LOCAL[operation]:
+        return ErrorCategory.LOCAL
+    return ErrorCategory.UPSTREAM
 
 
 class LocalError(OSError):
     """A system call that failed locally, which says nothing about the upstream."""
 
     @property
-    def exhausted(self) -> bool:
+    def is_resource_exhaustion(self) -> bool:
         """Whether the missing resource is needed for a connection to any upstream."""
         return self.errno in EXHAUSTED
 
 
-def typed(number: int | None, step: Step) -> OSError:
+def make_os_error(number: int | None, operation: SocketOperation) -> OSError:
     """Return the exception for an errno: OSError for a failure of the upstream, otherwise LocalError.
 
     A call that has to be repeated (EINTR) was not carried out, which counts as local.
     """
-    kind = OSError if meaning(number, step) is Meaning.UPSTREAM else LocalError
+    kind = OSError if classify_errno(number, operation) is ErrorCategory.UPSTREAM else LocalError
     return kind(number, os.strerror(number or 0))
--- a/indigokeel/net/upstream/connection.py
+++ b/indigokeel/net/upstream/connection.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from indigokeel.net.errors import LocalError, Meaning, Step, meaning, typed
+from indigokeel.net.errors import ErrorCategory, LocalError, SocketOperation, classify_errno, make_os_error
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 from indigokeel.net.upstream.connection_table import ConnectionState
 from indigokeel.net.upstream.socket_reader import SocketReader
@@ -102,7 +102,7 @@
         try:
             sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         except OSError as error:
-            raise typed(error.errno, Step.PREPARE) from error
+            raise make_os_error(error.errno, SocketOperation.PREPARE) from error
         self._connect_timeout_s = timeout_s
         try:
             self._connect(sock)
@@ -228,17 +228,17 @@
             self.fd = sock.fileno()
             self.inode = os.fstat(self.fd).st_ino
         except OSError as error:
-            raise typed(error.errno, Step.PREPARE) from error
+            raise make_os_error(error.errno, SocketOperation.PREPARE) from error
         try:
             error_number = sock.connect_ex(self.address)
         except OSError as error:
             error_number = error.errno or _UNKNOWN_ERRNO
-        if meaning(error_number, Step.CONNECT) is not Meaning.GOES_ON:
-            raise typed(error_number, Step.CONNECT)
+        if classify_errno(error_number, SocketOperation.CONNECT) is not ErrorCategory.NO_FAILURE:
+            raise make_os_error(error_number, SocketOperation.CONNECT)
         try:
             self._loop.add_writer(self.fd, self._on_connect_event)
         except OSError as error:
-            raise typed(error.errno, Step.PREPARE) from error
+            raise make_os_error(error.errno, SocketOperation.PREPARE) from error
         self._watching_connect = True
         self._connect_timer = self._loop.call_later(self._connect_timeout_s, self._on_connect_timeout)
 
@@ -246,7 +246,7 @@
         sock = self._sock
         if sock is None or self.state is not ConnectionState.OPENING:
             return
-        step = Step.CONNECTING
+        operation = SocketOperation.CONNECT_RESULT
         try:
             error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if not error_number:
@@ -254,11 +254,11 @@
                 self._reader.start(sock)
         except OSError as error:
             error_number = error.errno or _UNKNOWN_ERRNO
-            step = Step.PREPARE
+            operation = SocketOperation.PREPARE
         if not error_number:
             self._on_connected()
-        elif meaning(error_number, step) is not Meaning.GOES_ON:
-            self._fail(typed(error_number, step))
+        elif classify_errno(error_number, operation) is not ErrorCategory.NO_FAILURE:
+            self._fail(make_os_error(error_number, operation))
 
     def _on_connected(self) -> None:
         self._cancel_connect_timer()
--- a/indigokeel/net/upstream/connector.py
+++ b/indigokeel/net/upstream/connector.py
@@ -126,7 +126,7 @@
             try:
                 return self._start(upstream, address)
             except LocalError as error:
-                if not error.exhausted or self._table.longest_idle() is None:
+                if not error.is_resource_exhaustion or self._table.longest_idle() is None:
                     raise
                 self._report_local_error(upstream, address, error, "closing an idle connection")
                 self._close_longest_idle()
@@ -152,7 +152,7 @@
 
     def _suspend(self, upstream: str, address: Address, error: LocalError) -> None:
         """Suspend connects after a local error, to all upstreams if it would affect them all."""
-        scope = None if error.exhausted else upstream
+        scope = None if error.is_resource_exhaustion else upstream
         delay_s = self._backoff.suspend(self._telemetry.clock(), scope)
         self._report_local_error(upstream, address, error, f"retrying in {1000.0 * delay_s:.0f} ms")
         asyncio.get_running_loop().call_later(delay_s, self._resume, scope)
@@ -162,7 +162,9 @@
         self._on_resume(scope)
 
     def _report_local_error(self, upstream: str, address: Address, error: LocalError, action: str) -> None:
-        self._telemetry.count("descriptors_exhausted" if error.exhausted else "connects_failed_locally")
+        self._telemetry.count(
+            "descriptors_exhausted" if error.is_resource_exhaustion else "connects_failed_locally"
+        )
         now = self._telemetry.clock()
         if now - self._local_error_logged_at < _LOCAL_ERROR_LOG_INTERVAL_S:
             return
--- a/indigokeel/net/upstream/socket_reader.py
+++ b/indigokeel/net/upstream/socket_reader.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Protocol
 
-from indigokeel.net.errors import Meaning, Step, meaning
+from indigokeel.net.errors import ErrorCategory, SocketOperation, classify_errno
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 
 _READ_BYTES = 64 * 1024  # at most, per read
@@ -101,11 +101,11 @@
             self._events.on_read_end(at_eof=True)
 
     def _on_error(self, error: OSError) -> None:
-        match meaning(error.errno, Step.READ):
-            case Meaning.LOCAL:
+        match classify_errno(error.errno, SocketOperation.READ):
+            case ErrorCategory.LOCAL:
                 self.pause()
                 self._retry_timer = self._loop.call_later(self._retry_delays.next_delay_s(), self.resume)
-            case Meaning.UPSTREAM:
+            case ErrorCategory.UPSTREAM:
                 self._events.on_read_end(at_eof=False)
 
     def _has_error(self) -> bool:
--- a/indigokeel/net/upstream/socket_writer.py
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from indigokeel.net.errors import LocalError, Meaning, Step, meaning
+from indigokeel.net.errors import ErrorCategory, LocalError, SocketOperation, classify_errno
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 
 _MAX_CHUNKS = 64  # per writev call, which accepts 1,024 at most (IOV_MAX)
@@ -69,9 +69,9 @@
             self._unsent += chunks
             return True
         written, result = self._write_once(chunks)
-        if result is Meaning.UPSTREAM:
+        if result is ErrorCategory.UPSTREAM:
             return False
-        if result is Meaning.LOCAL and is_first:
+        if result is ErrorCategory.LOCAL and is_first:
             raise LocalError("write failed for lack of a local resource")
         if written < sum(map(len, chunks)):
             self._unsent = _remaining(chunks, written)
@@ -93,16 +93,16 @@
             self._watching = False
             self._loop.remove_writer(self._fd)
 
-    def _write_once(self, chunks: Chunks) -> tuple[int, Meaning]:
-        """Write once. Return the number of bytes written, and the meaning of the result."""
+    def _write_once(self, chunks: Chunks) -> tuple[int, ErrorCategory]:
+        """Write once. Return the number of bytes written, and the category of the result."""
         try:
-            return os.writev(self._fd, chunks[:_MAX_CHUNKS]), Meaning.GOES_ON
+            return os.writev(self._fd, chunks[:_MAX_CHUNKS]), ErrorCategory.NO_FAILURE
         except OSError as error:
-            return 0, meaning(error.errno, Step.WRITE)
+            return 0, classify_errno(error.errno, SocketOperation.WRITE)
 
-    def _schedule(self, result: Meaning) -> None:
+    def _schedule(self, result: ErrorCategory) -> None:
         """Continue when the socket is writable, or after a delay if the write failed locally."""
-        if result is not Meaning.LOCAL:
+        if result is not ErrorCategory.LOCAL:
             if not self._watching:
                 self._loop.add_writer(self._fd, self._on_writable)
                 self._watching = True
@@ -117,10 +117,10 @@
         if self._fd == _CLOSED:
             return
         written, result = self._write_once(self._unsent)
-        if result is Meaning.UPSTREAM:
+        if result is ErrorCategory.UPSTREAM:
             self._events.on_write_error(None)
             return
-        if result is Meaning.LOCAL and self._stalled_s >= self._stall_timeout_s:
+        if result is ErrorCategory.LOCAL and self._stalled_s >= self._stall_timeout_s:
             self._events.on_write_error(
                 LocalError("write failed for lack of a local resource until the retries timed out")
             )
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -23,7 +23,7 @@
 from indigokeel.config import decode_settings
 from indigokeel.endpoints.endpoint_list import parse_endpoint_list
 from indigokeel.metrics import Counters
-from indigokeel.net.errors import Meaning
+from indigokeel.net.errors import ErrorCategory
 from indigokeel.net.messages import OutboundRequest
 from indigokeel.net.upstream import ConnectFailure, UpstreamConnection
 from indigokeel.net.upstream.client import UpstreamClient, UpstreamClientOptions
@@ -41,7 +41,7 @@
     pool_harness.end()
 
 
-LOCAL, UPSTREAM, GOES_ON = Meaning.LOCAL, Meaning.UPSTREAM, Meaning.GOES_ON
+LOCAL, UPSTREAM, NO_FAILURE = ErrorCategory.LOCAL, ErrorCategory.UPSTREAM, ErrorCategory.NO_FAILURE
 
 
 EXHAUSTED = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -110,16 +110,16 @@
         for number in (errno.EADDRNOTAVAIL, *ROUTE_ERRORS, errno.ENOBUFS, errno.EAGAIN)
     ),
     ("connect", errno.ECONNREFUSED, UPSTREAM),
-    ("interrupted", errno.EINTR, GOES_ON),
+    ("interrupted", errno.EINTR, NO_FAILURE),
     *(("getsockopt", number, LOCAL) for number in (errno.EADDRNOTAVAIL, errno.ENOMEM)),
     *(("getsockopt", number, UPSTREAM) for number in (*ROUTE_ERRORS, errno.ETIMEDOUT, errno.ECONNREFUSED)),
-    ("getsockopt", errno.EINTR, GOES_ON),
+    ("getsockopt", errno.EINTR, NO_FAILURE),
 ]
 
 
 @pytest.mark.parametrize(("step", "number", "expected"), CONNECT_ERRORS)
 def test_connect_with_errors(
-    harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, step: str, number: int, expected: Meaning
+    harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, step: str, number: int, expected: ErrorCategory
 ) -> None:
     """Six failures of an upstream open its circuit breaker; six local errors only prolong the wait."""
     break_connect(step, number, 6, monkeypatch)
--- a/tests/unit/net/test_errors.py
+++ b/tests/unit/net/test_errors.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from indigokeel.net.errors import Meaning, Step, meaning
+from indigokeel.net.errors import ErrorCategory, SocketOperation, classify_errno
 
-LOCAL, UPSTREAM, GOES_ON = Meaning.LOCAL, Meaning.UPSTREAM, Meaning.GOES_ON
+LOCAL, UPSTREAM, NO_FAILURE = ErrorCategory.LOCAL, ErrorCategory.UPSTREAM, ErrorCategory.NO_FAILURE
 
 
 EXHAUSTED = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -21,21 +21,34 @@
 
 
 @pytest.mark.parametrize(
-    ("step", "numbers", "expected"),
+    ("operation", "numbers", "expected"),
     [
-        (Step.PREPARE, [*EXHAUSTED, errno.EACCES], LOCAL),
-        (Step.CONNECT, [*EXHAUSTED, *ROUTE_ERRORS, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EPERM], LOCAL),
-        (Step.CONNECT, [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET, None], UPSTREAM),
-        (Step.CONNECT, [0, errno.EINPROGRESS, errno.EALREADY], GOES_ON),
-        (Step.CONNECTING, [*ROUTE_ERRORS, errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET], UPSTREAM),
-        (Step.CONNECTING, [errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL], LOCAL),
-        (Step.WRITE, BROKEN_CONNECTION_ERRORS, UPSTREAM),
-        (Step.WRITE, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
-        (Step.READ, BROKEN_CONNECTION_ERRORS, UPSTREAM),
-        (Step.READ, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
-        *((step, [errno.EINTR], GOES_ON) for step in Step),
-        *((step, [errno.EAGAIN], GOES_ON) for step in (Step.CONNECTING, Step.WRITE, Step.READ)),
+        (SocketOperation.PREPARE, [*EXHAUSTED, errno.EACCES], LOCAL),
+        (
+            SocketOperation.CONNECT,
+            [*EXHAUSTED, *ROUTE_ERRORS, errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EPERM],
+            LOCAL,
+        ),
+        (SocketOperation.CONNECT, [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET, None], UPSTREAM),
+        (SocketOperation.CONNECT, [0, errno.EINPROGRESS, errno.EALREADY], NO_FAILURE),
+        (
+            SocketOperation.CONNECT_RESULT,
+            [*ROUTE_ERRORS, errno.ECONNREFUSED, errno.ETIMEDOUT, errno.ECONNRESET],
+            UPSTREAM,
+        ),
+        (SocketOperation.CONNECT_RESULT, [errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL], LOCAL),
+        (SocketOperation.WRITE, BROKEN_CONNECTION_ERRORS, UPSTREAM),
+        (SocketOperation.WRITE, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
+        (SocketOperation.READ, BROKEN_CONNECTION_ERRORS, UPSTREAM),
+        (SocketOperation.READ, [errno.ENOBUFS, errno.ENOMEM], LOCAL),
+        *((operation, [errno.EINTR], NO_FAILURE) for operation in SocketOperation),
+        *(
+            (operation, [errno.EAGAIN], NO_FAILURE)
+            for operation in (SocketOperation.CONNECT_RESULT, SocketOperation.WRITE, SocketOperation.READ)
+        ),
     ],
 )
-def test_meaning_of_errno_at_each_step(step: Step, numbers: list[int | None], expected: Meaning) -> None:
-    assert {meaning(number, step) for number in numbers} == {expected}
+def test_category_of_errno_for_each_operation(
+    operation: SocketOperation, numbers: list[int | None], expected: ErrorCategory
+) -> None:
+    assert {classify_errno(number, operation) for number in numbers} == {expected}
