--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -176,7 +176,7 @@
         self.input.flow.reset_errors()
         self.exchange.on_accepted(request.id)
         request.budget = budget_s
-        request.waited = waited_s
+        request.queued_s = waited_s
         self._handler.handle_request(connection, now, request, received.outbound)
 
     def _shed(self, retry_after_s: float) -> None:
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -207,7 +207,7 @@
             self.request_stream = RequestStream(self._events, self._content_length, outbound.body)
             outbound.request_stream = self.request_stream
             outbound.body = []
-            received.request.long = True
+            received.request.body_streamed = True
             self._events.on_stream_started(received)
         elif len(outbound.body) >= _MAX_BODY_CHUNKS:
             outbound.body[:] = [b"".join(outbound.body)]
--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -113,7 +113,7 @@
         """Queue a request whose body was complete before its turn, so that it need not be streamed."""
         received.outbound.body = request_stream.buffered()
         received.outbound.request_stream = None
-        received.request.long = False
+        received.request.body_streamed = False
         self._update_blocking(None, stream_full=False)
         self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
 
--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -166,7 +166,7 @@
         connection = self._connection
         assert connection is not None
         now = time.monotonic()
-        remaining_ms = int((self.attempt.until - now) * 1000.0)
+        remaining_ms = int((self.attempt.times_out_at - now) * 1000.0)
         if connection.idle_since > 0.0:
             self._idle_s = now - connection.idle_since
         outbound = self._outbound
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -82,7 +82,7 @@
     def send_attempt(self, attempt: Attempt, outbound: OutboundRequest, done: OnEnded) -> None:
         """Send an attempt. ``done`` is called once, after this returns, unless the attempt is cancelled."""
         now = time.monotonic()
-        remaining_s = attempt.until - now
+        remaining_s = attempt.times_out_at - now
         sender = AttemptSender(
             self._services, attempt, outbound, done, now + self._connect_time_s(remaining_s)
         )
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -73,9 +73,9 @@
         An exception in one effect does not keep the others from being carried out.
         """
         guarded = self._supervisor.run_guarded
-        for note in effects.notes:
+        for note in effects.log_messages:
             self._counters.log(note)
-        for request_id, number in effects.cancelled:
+        for request_id, number in effects.cancelled_attempts:
             guarded("cancelling an attempt", self._upstream_client.cancel_attempt, request_id, number)
         for attempt in effects.attempts:
             self._start_attempt(attempt)
@@ -87,9 +87,9 @@
             guarded("closing idle connections", self._upstream_client.close_idle, upstream)
         if effects.preconnect:
             guarded("opening connections in advance", self._upstream_client.warm_up, effects.preconnect)
-        if effects.watch:
+        if effects.start_watch:
             self._supervisor.keep_running("watch", self._discovery.watch)
-        if effects.fetch:
+        if effects.fetch_endpoints:
             self._supervisor.keep_running("fetch", self._discovery.fetch)
         self.timer.bring_forward()
 
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -81,7 +81,7 @@
         self, now: float, error: Exception, effects: Effects, request: OpenRequest | None
     ) -> None:
         self.faults += 1
-        effects.notes.append(f"fault in the balancer: {type(error).__name__}: {error}")
+        effects.log_messages.append(f"fault in the balancer: {type(error).__name__}: {error}")
         if request is not None and not request.answered and request.attempts_in_flight == 0:
             unserved = self._explain(now, request, UnservedCause.INTERNAL_ERROR)
             self._requests.answer(
@@ -109,7 +109,7 @@
         attempt = request.open_attempt(number)
         if attempt is None:
             return
-        effects.cancelled.append((request.id, number))
+        effects.cancelled_attempts.append((request.id, number))
         # An attempt of which no byte was written cannot have run.
         outcome = AttemptOutcome.TIMED_OUT if attempt.sent else AttemptOutcome.NO_CONNECTION
         self.end_attempt(now, request, number, outcome, effects)
@@ -162,11 +162,11 @@
         if isinstance(action, SendHealthCheck):
             effects.health_checks.append(action.upstream)
         elif isinstance(action, WatchEndpoints):
-            effects.watch = True
+            effects.start_watch = True
         elif isinstance(action, FetchEndpoints):
-            effects.fetch = True
+            effects.fetch_endpoints = True
         elif isinstance(action, LogMessage):
-            effects.notes.append(action.text)
+            effects.log_messages.append(action.text)
 
     def _fire_timer(self, token: int, now: float, effects: Effects) -> None:
         self.deliver(now, TimerFired(token), effects)
@@ -188,7 +188,7 @@
         outcome = AttemptOutcome.CANCELLED
         request.end_attempt(action.attempt, outcome)
         request.attempts_in_flight -= 1
-        effects.cancelled.append((action.id, action.attempt))
+        effects.cancelled_attempts.append((action.id, action.attempt))
         elapsed = now - attempt.started_at
         events.append(
             AttemptEnded(action.id, attempt.upstream, action.attempt, outcome, elapsed, request.answered)
@@ -207,7 +207,7 @@
             events.append(AttemptEnded(action.id, action.upstream, number, outcome, 0.0, request.answered))
             return
         request.attempts_in_flight += 1
-        if request.long:
+        if request.body_streamed:
             # The streamed body is not kept, so it cannot be sent again. Once the response is reported as
             # started, the balancer neither waits for it nor sends another attempt.
             events.append(ResponseStarted(action.id, action.upstream, number))
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -104,7 +104,7 @@
             effects.answers.append(self._requests.reject_for_capacity(request))
             return effects
         open_request = self._requests.open(now, request)
-        if not request.long:
+        if not request.body_streamed:
             self._driver.schedule_expiry(open_request)
         event = RequestArrived(
             request.id, request.class_name, request.budget, request.tenant, request.key, request.hint
@@ -128,10 +128,10 @@
         self._requests.mark_answered(request)
         self._driver.deliver(now, ClientDisconnected(request_id), effects, request)
         for number, attempt in enumerate(request.attempts):
-            if request.long:
+            if request.body_streamed:
                 self._driver.time_out_attempt(now, request, number, effects)
             elif not attempt.sent and not attempt.ended:
-                effects.cancelled.append((request.id, number))
+                effects.cancelled_attempts.append((request.id, number))
                 self._driver.end_attempt(now, request, number, AttemptOutcome.NOT_SENT, effects)
         return effects
 
@@ -203,7 +203,7 @@
                 timer.callback(now, effects)
             except Exception as error:  # affects this timer alone; the effects of the others are kept
                 self._timer_faults += 1
-                effects.notes.append(f"fault in a timer: {type(error).__name__}: {error}")
+                effects.log_messages.append(f"fault in a timer: {type(error).__name__}: {error}")
         if self._timers.next_deadline() <= now:
             self.ticks_cut_short += 1
         return effects
@@ -255,7 +255,7 @@
         try:
             learned_state.restore(self._balancer, now, data)
         except learned_state.LearnedStateError as error:
-            effects.notes.append(f"learned state of the previous process ignored: {error}")
+            effects.log_messages.append(f"learned state of the previous process ignored: {error}")
         return effects
 
     def export_start_times(self, now: float) -> StartsSnapshot | None:
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -28,19 +28,19 @@
     tenant: str = ""
     key: str = ""
     hint: float = 0.0  # the client's estimate of its work, in seconds of a standard core; 0 if there is none
-    waited: float = 0.0  # seconds of the client's time limit spent behind other requests of the connection
-    long: bool = False  # its body is streamed; its time limit starts with ``request_body_received``
+    queued_s: float = 0.0  # seconds of the client's time limit spent behind other requests of the connection
+    body_streamed: bool = False  # the time limit then starts with ``request_body_received``
     limited_by_shutdown: bool = False  # a shutdown made ``budget`` shorter than the client's time limit
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt to have a request served by one upstream; it times out at clock time ``until``."""
+    """One attempt to have a request served by one upstream."""
 
     request_id: str
     number: int
     upstream: str
-    until: float
+    times_out_at: float  # clock time
 
 
 @dataclass(slots=True)
@@ -61,10 +61,10 @@
     attempts: list[Attempt] = field(default_factory=list)
     answers: list[FinalAnswer] = field(default_factory=list)
     # Attempts to cancel by closing their connection: request id and attempt number.
-    cancelled: list[tuple[str, int]] = field(default_factory=list)
+    cancelled_attempts: list[tuple[str, int]] = field(default_factory=list)
     health_checks: list[str] = field(default_factory=list)  # upstreams
     close_idle: list[str] = field(default_factory=list)  # upstreams whose idle connections are closed
     preconnect: list[str] = field(default_factory=list)  # new upstreams to open connections to in advance
-    notes: list[str] = field(default_factory=list)  # log lines
-    watch: bool = False  # start a watch of the endpoint list
-    fetch: bool = False  # fetch the endpoint list once
+    log_messages: list[str] = field(default_factory=list)
+    start_watch: bool = False  # of the endpoint list
+    fetch_endpoints: bool = False  # once
--- a/indigokeel/requests/open_request.py
+++ b/indigokeel/requests/open_request.py
@@ -44,7 +44,7 @@
     idempotency_window: float  # seconds after the first attempt in which a retry may be sent
     max_attempts: int
     time_limit: float  # seconds from the arrival, or from the last byte of a streamed body, to ``respond_by``
-    long: bool  # its body is streamed
+    body_streamed: bool
     delayed_by_client: bool  # it waited behind other requests of its client; not blamed on an upstream
     attempts: list[OpenAttempt] = field(default_factory=list)
     attempts_in_flight: int = 0
--- a/indigokeel/requests/open_requests.py
+++ b/indigokeel/requests/open_requests.py
@@ -74,13 +74,13 @@
             id=request.id,
             class_name=request.class_name,
             received_at=now,
-            respond_by=math.inf if request.long else now + time_limit,
+            respond_by=math.inf if request.body_streamed else now + time_limit,
             idempotency_window=self._idempotency_windows.get(request.class_name, math.inf),
             max_attempts=self._limits.max_attempts,
             time_limit=time_limit,
-            long=request.long,
+            body_streamed=request.body_streamed,
             limited_by_shutdown=request.limited_by_shutdown,
-            delayed_by_client=request.waited > _MIN_DELAY_BY_CLIENT_S,
+            delayed_by_client=request.queued_s > _MIN_DELAY_BY_CLIENT_S,
         )
         self._requests[request.id] = open_request
         self.unanswered += 1
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -291,7 +291,7 @@
     assert (
         restored is not None
         and restored.at == now
-        and new.restore_learned_state(now, restored.figures).notes == []
+        and new.restore_learned_state(now, restored.figures).log_messages == []
     )
     before, after = old.export_learned_state(now), new.export_learned_state(now)
     assert before is not None and after is not None
@@ -331,12 +331,12 @@
 def test_invalid_learned_state_is_reported_and_harmless(invalid: dict[str, object]) -> None:
     coordinator = _coordinator()
     valid = coordinator.export_learned_state(NOW)
-    assert valid is not None and coordinator.restore_learned_state(NOW, valid).notes == []
-    notes = coordinator.restore_learned_state(NOW, {**valid, **invalid}).notes
+    assert valid is not None and coordinator.restore_learned_state(NOW, valid).log_messages == []
+    notes = coordinator.restore_learned_state(NOW, {**valid, **invalid}).log_messages
     assert len(notes) == 1 and notes[0].startswith("learned state of the previous process ignored")
     assert (
-        coordinator.restore_learned_state(NOW, None).notes
-        and coordinator.restore_learned_state(NOW, []).notes
+        coordinator.restore_learned_state(NOW, None).log_messages
+        and coordinator.restore_learned_state(NOW, []).log_messages
     )
     assert _upstreams_used(coordinator, NOW + 1.0)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -88,7 +88,7 @@
         self.apply_effects(sidecar, self.coordinators[sidecar].update_endpoints(self.now, update, cached))
 
     def apply_effects(self, sidecar: int, effects: Effects) -> None:
-        if effects.watch:
+        if effects.start_watch:
             self.watch_calls.append((self.now, sidecar))
             self.schedule(
                 self.now + 0.01,
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -112,7 +112,7 @@
         """Return the first attempt of a request, or its second for the kind ``retry``."""
         now = self.now
         self.client_deadline = now + BUDGET_S
-        request = Request(kind, "view", BUDGET_S, long=kind == "upload")
+        request = Request(kind, "view", BUDGET_S, body_streamed=kind == "upload")
         attempt = self.coordinator.pick(now, request).attempts[0]
         if kind == "retry":
             self.names.append("s-1")
--- a/tests/unit/requests/test_coordinator.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -22,7 +22,7 @@
 def make_coordinator(**changes: object) -> RequestCoordinator:
     classes = tuple(replace(cls, late_weight=0.5) for cls in make_settings().classes)
     coordinator = RequestCoordinator(make_settings(polls_membership=True, classes=classes, **changes), 1, 0.0)
-    assert coordinator.update_endpoints(100.0, EndpointList(1, True, ENDPOINTS), cached=True).watch
+    assert coordinator.update_endpoints(100.0, EndpointList(1, True, ENDPOINTS), cached=True).start_watch
     return coordinator
 
 
@@ -52,17 +52,19 @@
     """During an overload, the end of all attempts on a failed upstream delayed an answer past its client's
     time limit."""
     attempt, _ = submit_request(make_coordinator(), budget=budget)
-    assert attempt.until == pytest.approx(100.0 + budget - margin)
+    assert attempt.times_out_at == pytest.approx(100.0 + budget - margin)
 
 
 def test_final_answer_comes_before_the_deadline_if_no_attempt_ends() -> None:
     coordinator = make_coordinator(limits=Limits(max_attempts=1))
     attempt, _ = submit_request(coordinator)
-    assert attempt.until == pytest.approx(101.0 - RESPONSE_MARGIN_S) and coordinator.may_begin(100.0, attempt)
+    assert attempt.times_out_at == pytest.approx(101.0 - RESPONSE_MARGIN_S) and coordinator.may_begin(
+        100.0, attempt
+    )
     cancelled, answers = [], []
     while coordinator.next_deadline() < math.inf:
         effects = coordinator.tick(coordinator.next_deadline())
-        cancelled += effects.cancelled
+        cancelled += effects.cancelled_attempts
         answers += [(a.status, coordinator.unanswered) for a in effects.answers]
     # A request of a safe class is rejected even if an attempt may have run, because that is harmless.
     assert cancelled == [("j", 0)] and answers == [(FinalStatus.REJECTED, 0)]
@@ -106,7 +108,7 @@
 def test_no_attempt_is_sent_for_an_answered_request() -> None:
     coordinator = make_coordinator()
     attempt, _ = submit_request(coordinator)
-    assert coordinator.client_disconnected(100.1, "j").cancelled == [("j", 0)]
+    assert coordinator.client_disconnected(100.1, "j").cancelled_attempts == [("j", 0)]
     assert (
         not coordinator.may_begin(100.1, attempt)
         and coordinator.unanswered == 0
@@ -140,7 +142,7 @@
 
     monkeypatch.setattr(coordinator._balancer, "handle", fail)
     effects = coordinator.pick(100.0, Request("j", "view", 1.0))
-    assert effects.answers == [FinalAnswer("j", FinalStatus.FAILED)] and "odd" in effects.notes[0]
+    assert effects.answers == [FinalAnswer("j", FinalStatus.FAILED)] and "odd" in effects.log_messages[0]
     assert coordinator.faults == 1 and coordinator.unanswered == 0
 
 
@@ -206,7 +208,7 @@
     coordinator, count = make_coordinator(limits=Limits(hedging=True)), 1200
     coordinator.update_endpoints(100.0, EndpointList(2, True, ()))
     for number in range(count):
-        coordinator.pick(100.0, Request(f"j{number}", "view", 60.0, long=True))
+        coordinator.pick(100.0, Request(f"j{number}", "view", 60.0, body_streamed=True))
     effects = coordinator.update_endpoints(100.1, EndpointList(3, True, ENDPOINTS))
     assert len(effects.attempts) == count
     coordinator.tick(110.0)  # long after any other attempt would count as overdue
@@ -215,22 +217,22 @@
     assert sum(upstream.overdue_attempts for upstream in upstreams) == 0
 
 
-@pytest.mark.parametrize(("waited", "sheds"), [(0.0, True), (0.2, False)])
+@pytest.mark.parametrize(("queued_s", "sheds"), [(0.0, True), (0.2, False)])
 def test_request_delayed_by_others_of_its_client_is_not_blamed_on_an_upstream(
-    waited: float, sheds: bool
+    queued_s: float, sheds: bool
 ) -> None:
     """Requests that waited behind others of their client time out soon after they are sent. Their time-outs
     made two idle upstreams look overloaded, and requests of all clients were shed."""
-    coordinator, notes = make_coordinator(), []
+    coordinator, log_messages = make_coordinator(), []
     for number in range(60):
         now = 100.0 + 0.1 * number
-        effects = coordinator.pick(now, Request(f"j{number}", "view", 0.06, waited=waited))
+        effects = coordinator.pick(now, Request(f"j{number}", "view", 0.06, queued_s=queued_s))
         assert all(coordinator.may_begin(now, attempt) for attempt in effects.attempts)
-        notes += effects.notes
+        log_messages += effects.log_messages
         while coordinator.next_deadline() < now + 0.09:
-            notes += coordinator.tick(coordinator.next_deadline()).notes
+            log_messages += coordinator.tick(coordinator.next_deadline()).log_messages
         assert coordinator.unanswered == 0
-    assert ("shedding load" in notes) == sheds
+    assert ("shedding load" in log_messages) == sheds
 
 
 def test_fault_in_one_timer_does_not_affect_the_others() -> None:
@@ -244,7 +246,7 @@
     coordinator._timers.schedule(101.0, fail)
     effects = coordinator.tick(102.0)
     assert [answer.request_id for answer in effects.answers] == ["before", "after"]
-    assert coordinator.faults == 1 and any("unforeseen" in note for note in effects.notes)
+    assert coordinator.faults == 1 and any("unforeseen" in note for note in effects.log_messages)
 
 
 def test_unsent_attempts_count_only_beyond_a_bound() -> None:
