--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -94,7 +94,7 @@
         lambda: pool.table, pool.discard, lambda: peer_descriptors, count, lambda *_: None, time.monotonic
     )
     await _open_and_cancel(opens, random, upstreams, pool, audit)
-    pool.end()
+    pool.close_all()
     await asyncio.sleep(0.1)
     server.close()
     await asyncio.sleep(0.1)
@@ -103,7 +103,7 @@
     return {
         **counts,
         "in_table": len(pool.table),
-        "waiting": pool.waiting(),
+        "waiting": pool.waiter_count(),
         "sockets_remaining": len(set(sockets()) - sockets_before - set(peer_descriptors)),
     }
 
@@ -135,7 +135,7 @@
             else:
                 pool.release(chosen, random.random() < 0.3)
         if random.random() < 0.01:
-            pool.close_to(upstream)
+            pool.drain_upstream(upstream)
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
             await asyncio.sleep(0)
         if number % _OPENS_PER_AUDIT == 0:
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -106,7 +106,7 @@
     for connection in established:
         pool.release(connection, True)
     after = memory_kb(os.getpid())
-    pool.end()
+    pool.close_all()
     return (after - before) * _BYTES_PER_KB / connections
 
 
--- a/indigokeel/net/upstream/client.py
+++ b/indigokeel/net/upstream/client.py
@@ -75,7 +75,7 @@
         self.connections.apply_timeouts(connect_timeout, keepalive * _MAX_IDLE_RATIO)
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """The number of open connections, including those still connecting."""
         return len(self.connections.table)
 
@@ -101,11 +101,11 @@
         self._counters.add("attempt_cancelled")
         sender.cancel()
 
-    def close_idle(self, upstream: str) -> None:
+    def drain_connections(self, upstream: str) -> None:
         """Close the idle connections to an upstream now, and those in use when their calls have ended."""
-        self.connections.close_to(upstream)
+        self.connections.drain_upstream(upstream)
 
-    def warm_up(self, upstreams: list[str]) -> None:
+    def preconnect(self, upstreams: list[str]) -> None:
         """Open a connection to each of some new upstreams, if ``preconnects`` is set."""
         if not self._preconnects:
             return
--- a/indigokeel/net/upstream/connection_pool.py
+++ b/indigokeel/net/upstream/connection_pool.py
@@ -115,7 +115,7 @@
             connection.detach()
             self._dispatcher.connect_for_all_waiters()
 
-    def close_to(self, upstream: str) -> None:
+    def drain_upstream(self, upstream: str) -> None:
         """Close the idle connections to an upstream now, and those in use when their calls have ended."""
         for connection in self.table.connections(upstream, ConnectionState.IDLE):
             self.close(connection)
@@ -144,15 +144,15 @@
         """Close the connection that has been idle for longest. Return False if none is idle."""
         return self._connector.shed_idle()
 
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         """Return the number of idle connections."""
-        return self.table.idle()
+        return self.table.idle_count()
 
-    def waiting(self) -> int:
+    def waiter_count(self) -> int:
         """Return the number of waiters."""
         return len(self._queue)
 
-    def end(self) -> None:
+    def close_all(self) -> None:
         """Cancel all waiters and close all connections, without notifying any."""
         for upstream in self._queue.upstreams():
             for waiter in self._queue.waiters(upstream):
--- a/indigokeel/net/upstream/connection_table.py
+++ b/indigokeel/net/upstream/connection_table.py
@@ -126,7 +126,7 @@
         if state is ConnectionState.IDLE:
             self._idle[entry] = None
 
-    def idle(self) -> int:
+    def idle_count(self) -> int:
         """Return the number of idle connections."""
         return len(self._idle)
 
--- a/indigokeel/process/counter_report.py
+++ b/indigokeel/process/counter_report.py
@@ -39,9 +39,9 @@
             ticks_cut_short=self._coordinator.ticks_cut_short,
             cordoned=len(self._coordinator.cordons.active_records(time.monotonic())),
             client_connections_open=len(self._clients),
-            upstream_connections_open=self._upstream_client.open,
-            upstream_connections_idle=connections.idle(),
-            attempts_waiting=connections.waiting(),
+            upstream_connections_open=self._upstream_client.open_connections,
+            upstream_connections_idle=connections.idle_count(),
+            attempts_waiting=connections.waiter_count(),
             loop_lag_ms=round(self._lag_monitor.lag_s * 1000.0, 1),
             cpu_s=round(time.process_time(), 2),
         )
--- a/indigokeel/process/effect_executor.py
+++ b/indigokeel/process/effect_executor.py
@@ -83,10 +83,10 @@
             self._send_answer(answer, response)
         for upstream in effects.health_checks:
             self._supervisor.spawn("health check", self._check_health, upstream)
-        for upstream in effects.close_idle:
-            guarded("closing idle connections", self._upstream_client.close_idle, upstream)
+        for upstream in effects.drain_connections:
+            guarded("closing idle connections", self._upstream_client.drain_connections, upstream)
         if effects.preconnect:
-            guarded("opening connections in advance", self._upstream_client.warm_up, effects.preconnect)
+            guarded("opening connections in advance", self._upstream_client.preconnect, effects.preconnect)
         if effects.start_watch:
             self._supervisor.keep_running("watch", self._discovery.watch)
         if effects.fetch_endpoints:
--- a/indigokeel/requests/balancer_driver.py
+++ b/indigokeel/requests/balancer_driver.py
@@ -145,7 +145,7 @@
         elif isinstance(action, SetTimer):
             self._timers.schedule(now + action.delay, partial(self._fire_timer, action.token))
         elif isinstance(action, CloseIdleConnections):
-            effects.close_idle.append(action.upstream)
+            effects.drain_connections.append(action.upstream)
         elif isinstance(action, RejectRequest):
             answer = FinalAnswer(action.id, FinalStatus.REJECTED, action.retry_after_s)
             self._answer_unserved(now, answer, effects)
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -270,7 +270,7 @@
         self._directory.start_times.inherit(snapshot)
 
     def _apply_change(self, now: float, change: DirectoryChange, effects: Effects) -> None:
-        effects.close_idle += change.moved
+        effects.drain_connections += change.moved
         effects.preconnect += change.added
         self._driver.deliver(now, change.membership, effects)
 
--- a/indigokeel/requests/effects.py
+++ b/indigokeel/requests/effects.py
@@ -63,7 +63,7 @@
     # Attempts to cancel by closing their connection: request id and attempt number.
     cancelled_attempts: list[tuple[str, int]] = field(default_factory=list)
     health_checks: list[str] = field(default_factory=list)  # upstreams
-    close_idle: list[str] = field(default_factory=list)  # upstreams whose idle connections are closed
+    drain_connections: list[str] = field(default_factory=list)  # upstreams whose connections are drained
     preconnect: list[str] = field(default_factory=list)  # new upstreams to open connections to in advance
     log_messages: list[str] = field(default_factory=list)
     start_watch: bool = False  # of the endpoint list
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -178,7 +178,7 @@
 
     def end(self) -> None:
         """Close the pool and the upstreams, and assert that the pool leaves no socket open."""
-        self.run(self.pool.end)
+        self.run(self.pool.close_all)
         self.step(2)
         assert not self.open_inodes() and not len(self.pool.table)
         for sock in (*self.accepted, *self._fillers, self.listener, self.silent):
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -106,7 +106,7 @@
 
     @rule(upstream=st.sampled_from(["up", "refuses", "silent"]))
     def drain(self, upstream: str) -> None:
-        self.harness.run(lambda: self.harness.pool.close_to(upstream))
+        self.harness.run(lambda: self.harness.pool.drain_upstream(upstream))
 
     @rule(upstream=st.sampled_from(["up", "refuses", "silent"]))
     def preconnect(self, upstream: str) -> None:
@@ -137,7 +137,7 @@
     def teardown(self) -> None:
         if hasattr(self, "harness"):
             self.harness.end()
-            assert not self.harness.pool.waiting()
+            assert not self.harness.pool.waiter_count()
 
 
 PoolMachine.TestCase.settings = settings(
@@ -167,7 +167,7 @@
         harness.check_table()
         for connection in list(harness.pool.table):
             harness.run(lambda held=connection: harness.pool.close(held))  # type: ignore[misc]
-    assert harness.pool.waiting() == 0
+    assert harness.pool.waiter_count() == 0
     assert harness.run(harness.audit.look) == []
 
 
@@ -193,7 +193,7 @@
 def test_failed_connects_open_the_circuit_and_one_trial_closes_it(harness: PoolHarness) -> None:
     for _ in range(FAILURE_THRESHOLD + 3):
         harness.acquire("refuses")
-        harness.until(lambda: not harness.pool.waiting())
+        harness.until(lambda: not harness.pool.waiter_count())
         harness.step(2)
     assert harness.counts["connects_failed"] == FAILURE_THRESHOLD
     assert harness.counts["connects_not_tried"] >= 1
@@ -218,7 +218,7 @@
     for _ in range(FAILURE_THRESHOLD):
         harness.acquire("silent", 0.002)
         harness.now += 0.01
-        harness.until(lambda: not harness.pool.waiting())
+        harness.until(lambda: not harness.pool.waiter_count())
     harness.ready.clear()
     harness.acquire("silent", 60.0)
     harness.until(lambda: harness.ready == [ConnectFailure.UPSTREAM])
@@ -246,16 +246,16 @@
     available[0] = -9
     harness.ready.clear()
     harness.acquire("up")
-    assert harness.pool.waiting() == 1
+    assert harness.pool.waiter_count() == 1
     harness.until(lambda: bool(harness.ready))
     assert (
         isinstance(harness.ready[-1], UpstreamConnection) and available[0] == 1
     )  # at the eleventh try, and none is made after it
-    assert ("error" in {level for level, _ in harness.logged}) and harness.pool.waiting() == 0
+    assert ("error" in {level for level, _ in harness.logged}) and harness.pool.waiter_count() == 0
     available[0] = -1000
     harness.acquire("up", 0.01)
     harness.until(lambda: harness.ready[-1] is ConnectFailure.LOCAL)
-    assert harness.pool.waiting() == 0
+    assert harness.pool.waiter_count() == 0
     assert harness.counts["connects_failed"] == 1  # the connect to ``refuses``
     monkeypatch.undo()
     harness.check_table()
@@ -276,7 +276,7 @@
 def test_drain_closes_idle_connections_at_once_and_others_when_released(harness: PoolHarness) -> None:
     first, second = harness.connection(), harness.connection()
     harness.run(lambda: harness.pool.release(first, True))
-    harness.run(lambda: harness.pool.close_to("up"))
+    harness.run(lambda: harness.pool.drain_upstream("up"))
     assert (first.state, second.state) == (ConnectionState.CLOSED, ConnectionState.DRAINING)
     harness.run(lambda: harness.pool.release(second, True))
     assert second.state is ConnectionState.CLOSED
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -48,7 +48,7 @@
 def test_cordoned_upstream_stays_out_of_service_whatever_lists_say() -> None:
     coordinator = _coordinator()
     effects = coordinator.cordon(NOW, "s-1")
-    assert effects is not None and effects.close_idle == ["s-1"]
+    assert effects is not None and effects.drain_connections == ["s-1"]
     assert coordinator.cordon(NOW, "s-1") is not None  # a repeated call succeeds as well
     moved = replace(ENDPOINTS[1], port=2000, since=NOW + 1.0)
     for update in (
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -125,7 +125,7 @@
     break_connect(step, number, 6, monkeypatch)
     for _ in range(6):
         harness.acquire()
-        harness.until(lambda: not harness.pool.waiting())
+        harness.until(lambda: not harness.pool.waiter_count())
         harness.step(2)
     monkeypatch.undo()
     connected = sum(isinstance(connection, UpstreamConnection) for connection in harness.ready)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -35,7 +35,7 @@
 async def wait_until_idle(client: UpstreamClient) -> None:
     """Wait until a connection is idle."""
     for _ in range(2000):
-        if client.connections.idle():
+        if client.connections.idle_count():
             return
         await asyncio.sleep(0.001)
     raise AssertionError("no connection became idle")
@@ -87,7 +87,7 @@
             await wait_until_idle(client)
             outcomes.append(await send_attempt(client, coordinator, number))
             await wait_until_idle(client)
-        client.close_idle("s-0")
+        client.drain_connections("s-0")
         return outcomes
 
     upstream = peers.Peer(lambda message: peers.ok(b"inflight=7,util=0.5"))
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -45,10 +45,10 @@
             coordinator.client_disconnected(now, attempt.request_id)
             client.cancel_attempt(attempt.request_id, attempt.number)
         await asyncio.sleep(0.01)
-        client.close_idle("s-0")
+        client.drain_connections("s-0")
         await asyncio.sleep(0.01)
         server.close()
-        return client.open
+        return client.open_connections
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         assert runner.run(cancel_attempts()) == 0
@@ -99,10 +99,10 @@
 
     start(1, b"/first")
     await both_ended.wait()
-    while client.connections.idle() < len(client.connections.table):
+    while client.connections.idle_count() < len(client.connections.table):
         await asyncio.sleep(0.001)
     server.close()
-    return responses, counters, client.open
+    return responses, counters, client.open_connections
 
 
 @pytest.mark.parametrize("stray", [peers.ok(b"first"), b"HTTP/1.1 20", b"\r\n", b""])
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -134,7 +134,7 @@
         client.send_attempt(attempt, outbound, lambda _, response: self.on_ended(response))
         for _ in range(400):
             await asyncio.sleep(0.001)
-            if self.outcomes or (not client.connections.waiting() and client.connections.idle()):
+            if self.outcomes or (not client.connections.waiter_count() and client.connections.idle_count()):
                 break
         await asyncio.sleep(0.02)  # longer than a backoff
 
@@ -233,7 +233,7 @@
         harness.now += BUDGET_S
         outbound = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
         client.send_attempt(attempt, outbound, lambda _, response: harness.on_ended(response))
-        found = client.open
+        found = client.open_connections
         await asyncio.sleep(0.0)
         return found
 
--- a/tests/unit/requests/test_coordinator.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -100,7 +100,7 @@
     effects = coordinator.update_endpoints(
         100.1, EndpointList(2, False, (replace(upstream, state=EndpointState.DRAINING),))
     )
-    assert effects.close_idle == [upstream.name]
+    assert effects.drain_connections == [upstream.name]
     assert coordinator.address(upstream.name) is None and not coordinator.may_begin(100.1, attempt)
     assert coordinator.report(100.1, attempt, AttemptOutcome.NOT_SENT).attempts[0].upstream != upstream.name
 
