--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -70,7 +70,7 @@
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
         """Queue a complete request."""
         self._timeouts.restart(time.monotonic())
-        received.outbound.has_client_left = self._events.has_disconnected
+        received.outbound.has_client_disconnected = self._events.has_disconnected
         self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
 
     def on_health_check(self, keep_alive: bool) -> None:
@@ -94,7 +94,7 @@
 
     def on_stream_started(self, received: ReceivedRequest) -> None:
         """Hold a request with a streamed body until its turn."""
-        received.outbound.has_client_left = self._events.has_disconnected
+        received.outbound.has_client_disconnected = self._events.has_disconnected
         self._update_blocking(received, self._stream_full)
 
     def on_stream_ended(
--- a/indigokeel/net/messages.py
+++ b/indigokeel/net/messages.py
@@ -24,7 +24,7 @@
     request_stream: RequestStream | None = None  # replaces ``body`` if that is long
     # Called immediately before the first byte of an attempt. Returns whether the client has disconnected, in
     # which case the attempt must not be sent, and reports the disconnect.
-    has_client_left: Callable[[], bool] = lambda: False
+    has_client_disconnected: Callable[[], bool] = lambda: False
 
 
 @dataclass(slots=True)
--- a/indigokeel/net/upstream/attempt_sender.py
+++ b/indigokeel/net/upstream/attempt_sender.py
@@ -52,7 +52,7 @@
     def address(self, upstream: str) -> Address | None:
         """Return the address of an upstream, or None if it accepts no new requests."""
 
-    def may_begin(self, now: float, attempt: Attempt) -> bool:
+    def may_send_attempt(self, now: float, attempt: Attempt) -> bool:
         """Return whether an attempt may still be sent, asked right before its first byte is written."""
 
     def is_open(self, request_id: str) -> bool:
@@ -173,13 +173,13 @@
         message = [b"%s%d%s" % (self._head_before, remaining_ms, self._head_after)]
         if outbound.has_body and outbound.request_stream is None:
             message += outbound.body
-        if outbound.has_client_left():
+        if outbound.has_client_disconnected():
             self._client_disconnected = True
             return None
         services = self._services
         if remaining_ms < 1 or not services.releaser.has_current_address(connection):
             return None
-        return message if services.policy.may_begin(now, self.attempt) else None
+        return message if services.policy.may_send_attempt(now, self.attempt) else None
 
     def on_response_started(self, response: UpstreamResponse) -> None:
         """End the attempt with a response whose body is streamed (Call)."""
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -143,7 +143,7 @@
                 request.limited_by_shutdown = True
                 self._driver.schedule_expiry(request)
 
-    def may_begin(self, now: float, attempt: Attempt) -> bool:
+    def may_send_attempt(self, now: float, attempt: Attempt) -> bool:
         """Decide whether an attempt may still be sent; called right before its first byte is written.
 
         While its connection was being opened, the upstream may have started to drain, the request may have
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -91,7 +91,7 @@
     coordinator = _coordinator()
     attempt = coordinator.pick(NOW, Request("j", "view", 1.0)).attempts[0]
     coordinator.cordon(NOW, attempt.upstream)
-    assert not coordinator.may_begin(NOW, attempt)
+    assert not coordinator.may_send_attempt(NOW, attempt)
 
 
 def test_unknown_ids_are_rejected_and_cordoned_ids_that_left_the_list_are_accepted() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -122,7 +122,7 @@
                     sidecar, self.coordinators[sidecar].report(self.now, attempt, outcome)
                 ),
             )
-        elif self.coordinators[sidecar].may_begin(self.now, attempt):
+        elif self.coordinators[sidecar].may_send_attempt(self.now, attempt):
             self.schedule(
                 self.now + self.random.uniform(0.02, 0.08), lambda: self.finish_attempt(sidecar, attempt)
             )
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -60,7 +60,7 @@
         self.now = 100.0
         self.client_deadline = 0.0
         self.sending = False
-        self.client_left = False
+        self.client_disconnected = False
         self.fail_next_write = False
         self.delay_at = ""  # the step at which the process is delayed
         self.delay_s = DELAY_S
@@ -91,9 +91,9 @@
         self.step("exchange")
         return response_parser.ResponseParser()
 
-    def has_client_left(self) -> bool:
-        """Return whether the client has disconnected (OutboundRequest.has_client_left)."""
-        left = self.client_left
+    def has_client_disconnected(self) -> bool:
+        """Return whether the client has disconnected (OutboundRequest.has_client_disconnected)."""
+        left = self.client_disconnected
         self.step("disconnect")
         return left
 
@@ -101,7 +101,7 @@
         """Write, or fail once, and record the timeouts sent (replaces ``os.writev``)."""
         if self.fail_next_write:
             self.fail_next_write = False
-            self.client_left = True
+            self.client_disconnected = True
             raise OSError(errno.ENOBUFS, "no buffers")
         value = b"".join(chunks).partition(b"Request-Timeout-Ms: ")[2].partition(b"\r\n")[0]
         if value:
@@ -126,7 +126,7 @@
         self.written.clear()
         attempt = self.open_attempt(kind)
         outbound = OutboundRequest(
-            b"POST", b"/view/k", b"1", None, [], True, has_client_left=self.has_client_left
+            b"POST", b"/view/k", b"1", None, [], True, has_client_disconnected=self.has_client_disconnected
         )
         if kind == "upload":
             outbound.request_stream = RequestStream(ConnectedSource(), 4, [b"body"])
@@ -201,7 +201,7 @@
 def test_no_attempt_is_sent_for_a_client_that_left_during_a_delay(
     harness: Harness, kind: str, step: str
 ) -> None:
-    harness.during_delay = lambda: setattr(harness, "client_left", True)
+    harness.during_delay = lambda: setattr(harness, "client_disconnected", True)
     harness.run(kind, step)
     assert harness.written == []
 
--- a/tests/unit/requests/test_coordinator.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -58,7 +58,7 @@
 def test_final_answer_comes_before_the_deadline_if_no_attempt_ends() -> None:
     coordinator = make_coordinator(limits=Limits(max_attempts=1))
     attempt, _ = submit_request(coordinator)
-    assert attempt.times_out_at == pytest.approx(101.0 - RESPONSE_MARGIN_S) and coordinator.may_begin(
+    assert attempt.times_out_at == pytest.approx(101.0 - RESPONSE_MARGIN_S) and coordinator.may_send_attempt(
         100.0, attempt
     )
     cancelled, answers = [], []
@@ -86,7 +86,7 @@
 ) -> None:
     coordinator = make_coordinator()
     attempt, _ = submit_request(coordinator, class_name=name)
-    assert not sent or coordinator.may_begin(100.0, attempt)
+    assert not sent or coordinator.may_send_attempt(100.0, attempt)
     effects = coordinator.report(100.05, attempt, outcome)
     assert [c.number for c in effects.attempts] == ([1] if retried else [])
     assert [a.status for a in effects.answers] == ([] if retried else [FinalStatus.FAILED])
@@ -101,7 +101,7 @@
         100.1, EndpointList(2, False, (replace(upstream, state=EndpointState.DRAINING),))
     )
     assert effects.drain_connections == [upstream.name]
-    assert coordinator.address(upstream.name) is None and not coordinator.may_begin(100.1, attempt)
+    assert coordinator.address(upstream.name) is None and not coordinator.may_send_attempt(100.1, attempt)
     assert coordinator.report(100.1, attempt, AttemptOutcome.NOT_SENT).attempts[0].upstream != upstream.name
 
 
@@ -110,7 +110,7 @@
     attempt, _ = submit_request(coordinator)
     assert coordinator.client_disconnected(100.1, "j").cancelled_attempts == [("j", 0)]
     assert (
-        not coordinator.may_begin(100.1, attempt)
+        not coordinator.may_send_attempt(100.1, attempt)
         and coordinator.unanswered == 0
         and not coordinator.is_open("j")
     )
@@ -122,9 +122,9 @@
     """The retry was decided in time, but its connection was established too late."""
     coordinator = make_coordinator()
     attempt, _ = submit_request(coordinator, class_name="order", budget=1.5)
-    coordinator.may_begin(100.0, attempt)
+    coordinator.may_send_attempt(100.0, attempt)
     (retry,) = coordinator.report(100.05, attempt, AttemptOutcome.BROKEN).attempts
-    assert coordinator.may_begin(100.0 + after, retry) is allowed
+    assert coordinator.may_send_attempt(100.0 + after, retry) is allowed
 
 
 def test_request_over_max_open_is_rejected_at_once_with_retry_after() -> None:
@@ -227,7 +227,7 @@
     for number in range(60):
         now = 100.0 + 0.1 * number
         effects = coordinator.pick(now, Request(f"j{number}", "view", 0.06, queued_s=queued_s))
-        assert all(coordinator.may_begin(now, attempt) for attempt in effects.attempts)
+        assert all(coordinator.may_send_attempt(now, attempt) for attempt in effects.attempts)
         log_messages += effects.log_messages
         while coordinator.next_deadline() < now + 0.09:
             log_messages += coordinator.tick(coordinator.next_deadline()).log_messages
@@ -262,7 +262,7 @@
     assert attempts == 6 and coordinator.unanswered == 0
     attempt, _ = submit_request(coordinator, id="k")
     (attempt,) = coordinator.report(100.0, attempt, AttemptOutcome.NOT_SENT).attempts
-    assert coordinator.may_begin(100.0, attempt)
+    assert coordinator.may_send_attempt(100.0, attempt)
     # The one allowed attempt has been used.
     assert not coordinator.report(100.1, attempt, AttemptOutcome.REJECTED).attempts
 
--- a/tests/unit/requests/test_unserved.py
+++ b/tests/unit/requests/test_unserved.py
@@ -65,7 +65,7 @@
     ):
         coordinator = make_coordinator()
         (attempt,) = coordinator.pick(100.0, Request("j", name, budget)).attempts
-        assert coordinator.may_begin(100.0, attempt)
+        assert coordinator.may_send_attempt(100.0, attempt)
         found = unserved_details(run_timers(coordinator))
         assert (found.cause, found.may_have_run) == (cause, True)
 
@@ -73,7 +73,7 @@
 def test_request_that_is_cut_off_by_a_shutdown() -> None:
     coordinator = make_coordinator()
     (attempt,) = coordinator.pick(100.0, Request("open", "pay", 1.4)).attempts
-    assert coordinator.may_begin(100.0, attempt)
+    assert coordinator.may_send_attempt(100.0, attempt)
     coordinator.limit_deadlines(100.2)
     coordinator.pick(100.0, Request("late", "pay", 0.2, limited_by_shutdown=True))
     causes = [answer.unserved and answer.unserved.cause for answer in run_timers(coordinator)]
