--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -28,7 +28,7 @@
     Telemetry,
     UpstreamConnection,
 )
-from indigokeel.net.upstream.descriptor_audit import sockets
+from indigokeel.net.upstream.descriptor_audit import list_open_sockets
 
 _MAX_HELD = 40  # connections and waiters at the same time
 _OPENS_PER_AUDIT = 5000
@@ -89,7 +89,7 @@
         Telemetry(count, lambda *_: None, time.monotonic),
         PoolOptions(seed=seed, connect_timeout_s=0.25),
     )
-    sockets_before = set(sockets())
+    sockets_before = set(list_open_sockets())
     audit = DescriptorLeakDetector(
         lambda: pool.table, pool.discard, lambda: peer_descriptors, count, lambda *_: None, time.monotonic
     )
@@ -98,13 +98,13 @@
     await asyncio.sleep(0.1)
     server.close()
     await asyncio.sleep(0.1)
-    audit.look()
-    audit.look()
+    audit.run_audit()
+    audit.run_audit()
     return {
         **counts,
         "in_table": len(pool.table),
         "waiting": pool.waiter_count(),
-        "sockets_remaining": len(set(sockets()) - sockets_before - set(peer_descriptors)),
+        "sockets_remaining": len(set(list_open_sockets()) - sockets_before - set(peer_descriptors)),
     }
 
 
@@ -139,7 +139,7 @@
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
             await asyncio.sleep(0)
         if number % _OPENS_PER_AUDIT == 0:
-            audit.look()
+            audit.run_audit()
 
 
 def _hold_when_ready(
--- a/indigokeel/net/upstream/descriptor_audit.py
+++ b/indigokeel/net/upstream/descriptor_audit.py
@@ -56,7 +56,7 @@
     return None
 
 
-def sockets() -> dict[int, int]:
+def list_open_sockets() -> dict[int, int]:
     """Return the inodes of the open sockets by descriptor; some systems do not list all of them."""
     try:
         descriptors = [int(name) for name in os.listdir(_DESCRIPTOR_DIRECTORY)]
@@ -95,11 +95,11 @@
         self._log = log
         self._clock = clock
         self._suspects: dict[int, _Suspect] = {}
-        self._event_loop_sockets = sockets()
+        self._event_loop_sockets = list_open_sockets()
 
-    def look(self) -> list[DescriptorMismatch]:
+    def run_audit(self) -> list[DescriptorMismatch]:
         """Run one audit. Return the differences that were found and repaired."""
-        open_sockets = sockets()
+        open_sockets = list_open_sockets()
         owned = set(self._other_descriptors())
         mismatches = [*self._find_missing(owned), *self._find_leaked(open_sockets, owned)]
         self._count("audits")
--- a/indigokeel/process/housekeeping.py
+++ b/indigokeel/process/housekeeping.py
@@ -57,4 +57,4 @@
             if checks % _CHECKS_PER_EXPIRY == 0:
                 guarded("closing idle connections", self._upstream_client.close_expired, now)
             if checks % _CHECKS_PER_AUDIT == 0:
-                guarded("descriptor audit", self._leak_detector.look)
+                guarded("descriptor audit", self._leak_detector.run_audit)
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -289,7 +289,7 @@
 
     def _report_counters(self) -> None:
         """Print the counters; an exception in this affects nothing else."""
-        self._supervisor.run_guarded("descriptor audit", self._leak_detector.look)
+        self._supervisor.run_guarded("descriptor audit", self._leak_detector.run_audit)
         self._supervisor.run_guarded("counters", self._counter_report.print)
 
 
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -22,7 +22,7 @@
     Telemetry,
     UpstreamConnection,
 )
-from indigokeel.net.upstream.descriptor_audit import sockets
+from indigokeel.net.upstream.descriptor_audit import list_open_sockets
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
 
@@ -60,7 +60,7 @@
         self.loop = uvloop.new_event_loop()
         self.loop.run_until_complete(asyncio.sleep(0))
         self._open_upstreams()
-        self.baseline = sockets()
+        self.baseline = list_open_sockets()
         self.accepted: list[socket.socket] = []
         self.counts: Counter[str] = Counter()
         self.logged: list[tuple[str, str]] = []
@@ -169,7 +169,9 @@
         """Return the inodes of the open sockets that belong to the pool."""
         peers = {sock.fileno() for sock in self.accepted if sock.fileno() >= 0}
         return {
-            inode for fd, inode in sockets().items() if self.baseline.get(fd) != inode and fd not in peers
+            inode
+            for fd, inode in list_open_sockets().items()
+            if self.baseline.get(fd) != inode and fd not in peers
         }
 
     def check_table(self) -> None:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -168,7 +168,7 @@
         for connection in list(harness.pool.table):
             harness.run(lambda held=connection: harness.pool.close(held))  # type: ignore[misc]
     assert harness.pool.waiter_count() == 0
-    assert harness.run(harness.audit.look) == []
+    assert harness.run(harness.audit.run_audit) == []
 
 
 def test_waiters_get_released_connections_in_order() -> None:
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -136,7 +136,7 @@
 LOOPS: dict[str, tuple[object, str, dict[str, Any]]] = {
     "housekeeping": (ClientRegistry, "__iter__", SETTINGS),
     "idle connections": (UpstreamClient, "close_expired", SETTINGS),
-    "descriptor audit": (DescriptorLeakDetector, "look", SETTINGS),
+    "descriptor audit": (DescriptorLeakDetector, "run_audit", SETTINGS),
     "state writer": (StatePersistence, "persist", SETTINGS),
     "state file": (StateFiles, "write", SETTINGS),
     "watch": (DiscoveryClient, "_keep_watching", SETTINGS),
@@ -275,7 +275,7 @@
     running.run_script(script)
 
 
-@pytest.mark.parametrize(("owner", "method"), [(Counters, "dump"), (DescriptorLeakDetector, "look")])
+@pytest.mark.parametrize(("owner", "method"), [(Counters, "dump"), (DescriptorLeakDetector, "run_audit")])
 def test_counters_that_cannot_be_printed_affect_nothing_else(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: object, method: str
 ) -> None:
