--- a/indigokeel/net/admin.py
+++ b/indigokeel/net/admin.py
@@ -42,7 +42,7 @@
 class AdminHandler(Protocol):
     """The part of the process that carries out the calls."""
 
-    def serves(self) -> bool:
+    def is_ready(self) -> bool:
         """Return True if this process can serve requests now."""
 
     def cordon(self, upstream: str, answer: AnswerCall) -> None:
@@ -196,8 +196,8 @@
     def _answer_health(self, method: bytes) -> None:
         if method not in (b"GET", b"HEAD"):
             raise RequestError(405, "only GET")
-        serves = self._server.handler.serves()
-        self._answer(200 if serves else 503, "yes" if serves else "no", has_body=method != b"HEAD")
+        is_ready = self._server.handler.is_ready()
+        self._answer(200 if is_ready else 503, "yes" if is_ready else "no", has_body=method != b"HEAD")
 
     def _change_cordon(self, method: bytes, call: Callable[[str, AnswerCall], None]) -> None:
         if method != b"PUT":
--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -71,7 +71,7 @@
         if self._last_watch not in self._watches:
             await self._watch()
 
-    async def move(self, address: tuple[str, int]) -> None:
+    async def change_address(self, address: tuple[str, int]) -> None:
         """Move the watch to another address; the old watch is kept until the new one is answered."""
         if address == self._address:
             if self.pushed:  # reopened if it has ended for any reason
--- a/indigokeel/net/downstream/client_registry.py
+++ b/indigokeel/net/downstream/client_registry.py
@@ -85,7 +85,7 @@
         for group in (self._all, self._active, self._closing):
             group.pop(connection, None)
 
-    def is_crowded(self) -> bool:
+    def has_too_many_active_connections(self) -> bool:
         """Return whether there are so many active connections that each has to close after its response."""
         return len(self._active) > self._crowded_threshold
 
--- a/indigokeel/net/downstream/current_exchange.py
+++ b/indigokeel/net/downstream/current_exchange.py
@@ -98,7 +98,9 @@
 
     def _decide_keep_alive(self) -> None:
         """Let the connection close after this response if the sidecar asks for it and no request follows."""
-        if (self._handler.closing or self._handler.is_crowded()) and not self._input.has_more_requests():
+        if (
+            self._handler.closing or self._handler.has_too_many_active_connections()
+        ) and not self._input.has_more_requests():
             self._keep_alive = False
 
     def on_written(self) -> None:
--- a/indigokeel/net/downstream/request_handler.py
+++ b/indigokeel/net/downstream/request_handler.py
@@ -69,7 +69,7 @@
     def shed_early(self, client: ConnectionT, arrived: float, class_name: str, budget: float) -> float | None:
         """Return the seconds after which to retry if the sidecar sheds the request, else None."""
 
-    def is_crowded(self) -> bool:
+    def has_too_many_active_connections(self) -> bool:
         """Return whether there are so many connections that each has to close after its response."""
 
     def connection_opened(self, client: ConnectionT) -> None:
--- a/indigokeel/process/admin_service.py
+++ b/indigokeel/process/admin_service.py
@@ -39,7 +39,7 @@
         self._counters = counters
         self._started_at = time.monotonic()
 
-    def serves(self) -> bool:
+    def is_ready(self) -> bool:
         """Return True if this process can replace the previous one, which may then be stopped."""
         waited = time.monotonic() - self._started_at
         has_list = self._discovery.answered or waited > FIRST_LIST_TIMEOUT_S
--- a/indigokeel/process/reload.py
+++ b/indigokeel/process/reload.py
@@ -64,7 +64,9 @@
         self._counters.add("reloads")
         names = ", ".join(cls.name for cls in config.settings.classes)
         self._counters.log(f"configuration reloaded: classes {names}")
-        self._supervisor.keep_running("move of the watch", self._targets.discovery.move, config.discovery)
+        self._supervisor.keep_running(
+            "move of the watch", self._targets.discovery.change_address, config.discovery
+        )
 
     def _apply(self, config: Config) -> None:
         self._targets.apply(config.settings)
--- a/indigokeel/process/request_service.py
+++ b/indigokeel/process/request_service.py
@@ -83,7 +83,7 @@
     ) -> float | None:
         """Return the seconds after which a rejected client may retry, or None to accept its request."""
         retry_after = self._coordinator.shed_early(arrived, class_name, budget)
-        if self._shutdown_times is not None and time.monotonic() >= self._shutdown_times.take_until:
+        if self._shutdown_times is not None and time.monotonic() >= self._shutdown_times.reject_after:
             retry_after = self.settings.limits.max_retry_after
         if retry_after is not None:
             self._clients.request_received(client)
@@ -96,9 +96,9 @@
 
     # --- client connections ---------------------------------------------------------------------------
 
-    def is_crowded(self) -> bool:
+    def has_too_many_active_connections(self) -> bool:
         """Return True if there are so many client connections that each closes after its response."""
-        return self._clients.is_crowded()
+        return self._clients.has_too_many_active_connections()
 
     def connection_opened(self, client: ClientConnection) -> None:
         """Register a connection, and evict connections over the limit."""
@@ -130,7 +130,7 @@
         if evicted.evict():
             self.connection_closed(evicted)
 
-    def make_room_for_backlog(self) -> None:
+    def evict_for_backlog(self) -> None:
         """Close one idle client connection and one idle upstream connection.
 
         Called when no connection can be accepted because descriptors or memory are exhausted.
@@ -153,7 +153,7 @@
         """Return all client connections."""
         return iter(self._clients)
 
-    def answers_owed(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return True if a request is unanswered, input is unread or output is unwritten."""
         if self._coordinator.unanswered > 0:
             return True
--- a/indigokeel/process/shutdown.py
+++ b/indigokeel/process/shutdown.py
@@ -29,9 +29,9 @@
     """The times of the steps of a shutdown, on the monotonic clock."""
 
     accept_until: float  # new connections are accepted until then
-    # Until then partially received requests may be completed, even if no answer is owed.
+    # Until then partially received requests may be completed, even if no work is unfinished.
     partial_requests_until: float
-    take_until: float  # requests that arrive later are rejected at once
+    reject_after: float  # requests that arrive later are rejected at once
     answer_by: float  # every request has its final answer by then
     close_at: float  # connections are closed; nothing is read after that
     exit_by: float  # the process has exited by then
@@ -49,7 +49,7 @@
         return cls(
             accept_until=now + accept,
             partial_requests_until=now + accept + partial,
-            take_until=answer_by - min(_REJECT_MARGIN_S, deadline / 2.0),
+            reject_after=answer_by - min(_REJECT_MARGIN_S, deadline / 2.0),
             answer_by=answer_by,
             close_at=exit_by - _CLOSE_MARGIN_S,
             exit_by=exit_by,
@@ -75,7 +75,7 @@
     def client_connections(self) -> Iterator[ClosableConnection]:
         """Return all client connections."""
 
-    def answers_owed(self) -> bool:
+    def has_unfinished_work(self) -> bool:
         """Return True if a request is unanswered, input is unread or output is unwritten."""
 
     def answer_all(self) -> None:
@@ -106,7 +106,10 @@
                 self._for_each_connection(
                     lambda connection: connection.close() if connection.is_idle() else None
                 )
-                if time.monotonic() >= self._times.partial_requests_until and self._answers_owed() is False:
+                if (
+                    time.monotonic() >= self._times.partial_requests_until
+                    and self._has_unfinished_work() is False
+                ):
                     break
             await asyncio.sleep(_POLL_S)
         # No await in between, so that nothing is read between the last answers and the closes.
@@ -120,8 +123,8 @@
     def _connections(self) -> list[ClosableConnection]:
         return self._run_step(lambda: list(self._target.client_connections())) or []
 
-    def _answers_owed(self) -> bool | None:
-        return self._run_step(self._target.answers_owed)
+    def _has_unfinished_work(self) -> bool | None:
+        return self._run_step(self._target.has_unfinished_work)
 
     def _for_each_connection(self, call: Callable[[ClosableConnection], None]) -> None:
         for connection in self._connections():
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -197,7 +197,7 @@
             self._supervisor.keep_running(
                 "state synchronisation", self._persistence.synchronise, lambda: self.closing
             )
-            self._supervisor.keep_running("cordon store", self._persistence.keep_stored)
+            self._supervisor.keep_running("cordon store", self._persistence.keep_cordons_stored)
 
     def _accept_clients(self, loop: asyncio.AbstractEventLoop, listener: socket.socket) -> ClientListener:
         clients = ClientListener(
@@ -205,7 +205,7 @@
             listener,
             lambda: ClientConnection(self._requests, self._counters),
             self._counters,
-            self._requests.make_room_for_backlog,
+            self._requests.evict_for_backlog,
         )
         clients.open()
         self._admin_service.accepting = True
--- a/indigokeel/process/state_persistence.py
+++ b/indigokeel/process/state_persistence.py
@@ -186,7 +186,7 @@
         self.persist()  # for the next process, in case the sync fails or takes long
         self._cordon_store.call_when_stored(callback)
 
-    async def keep_stored(self) -> None:
+    async def keep_cordons_stored(self) -> None:
         """Store the cordons whenever they have changed, until cancelled."""
         await self._cordon_store.run()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -413,7 +413,10 @@
     config.write_text(json.dumps({"name": "n0", **addresses, "known": known, "settings": SETTINGS}))
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
-    loaded, owed = load_config({"BALANCER_CONFIG": str(config)}), RequestService.answers_owed
+    loaded, has_unfinished_work = (
+        load_config({"BALANCER_CONFIG": str(config)}),
+        RequestService.has_unfinished_work,
+    )
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as conn:
         listener.setblocking(False)
         conn.settimeout(WAIT)
@@ -424,9 +427,9 @@
             nonlocal sent
             if not sent:
                 sent = conn.send(message[-1:])
-            return owed(self)
+            return has_unfinished_work(self)
 
-        monkeypatch.setattr(RequestService, "answers_owed", late)
+        monkeypatch.setattr(RequestService, "has_unfinished_work", late)
 
         async def serve() -> None:
             served = asyncio.create_task(sidecar.serve(loaded, listener))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -85,7 +85,7 @@
     def is_open(self, request_id: str) -> bool:
         return False
 
-    def is_crowded(self) -> bool:
+    def has_too_many_active_connections(self) -> bool:
         return False
 
     def handle_request(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -169,12 +169,12 @@
 @pytest.mark.parametrize("deadline", [0.01, 0.2, 0.5, 1.0, 3.0, 60.0])
 def test_steps_of_a_shutdown_are_ordered_and_before_sigkill(deadline: float) -> None:
     times = ShutdownTimes.plan(100.0, deadline, 0.5, 0.2)
-    assert 100.0 < times.take_until < times.answer_by < times.close_at < times.exit_by
+    assert 100.0 < times.reject_after < times.answer_by < times.close_at < times.exit_by
     assert times.exit_by < 100.0 + min(deadline, 3.0) + 0.7
     # A request read at the last moment still has half of its deadline, or the 50 ms that a short one needs.
-    assert times.answer_by - times.take_until >= min(deadline / 2.0, 0.05) - 1e-9
+    assert times.answer_by - times.reject_after >= min(deadline / 2.0, 0.05) - 1e-9
     # Requests on the last accepted connection are still read, unless the deadline is shorter than an exit.
-    assert times.take_until >= times.accept_until or deadline < 0.1
+    assert times.reject_after >= times.accept_until or deadline < 0.1
 
 
 def test_request_read_too_late_in_the_shutdown_is_rejected_and_not_forwarded(
@@ -217,7 +217,7 @@
     (ClientConnection, "_end"),
     (ClientListener, "close"),
     (AdminServer, "close"),
-    (RequestService, "answers_owed"),
+    (RequestService, "has_unfinished_work"),
     (Counters, "dump"),
 ]
 
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -130,7 +130,7 @@
                 states.update(os.listdir(tmp_path))
                 await asyncio.sleep(0.01)
         assert valid_path.exists()
-        tasks.append(asyncio.create_task(persistence.keep_stored()))
+        tasks.append(asyncio.create_task(persistence.keep_cordons_stored()))
         async with asyncio.timeout(WAIT):
             while valid_path.exists():
                 await asyncio.sleep(0.01)
--- a/tests/unit/net/downstream/test_client_registry.py
+++ b/tests/unit/net/downstream/test_client_registry.py
@@ -81,7 +81,7 @@
     assert registry.select_eviction(newest, 0.0) is (evicted or newest)
     for connection in list(registry):
         registry.connection_closed(connection)
-    assert len(registry) == 0 and not registry.is_crowded()
+    assert len(registry) == 0 and not registry.has_too_many_active_connections()
 
 
 class CountingConnection(FakeConnection):
