--- a/indigokeel/net/downstream/flow_control.py
+++ b/indigokeel/net/downstream/flow_control.py
@@ -17,8 +17,8 @@
 _ERROR_PAUSE_S = 0.01
 
 
-class FlowEvents(Protocol):
-    """The receiver of the events of reading a connection."""
+class FlowControlHandler(Protocol):
+    """Receives the callbacks of reading a connection."""
 
     def process_pipeline(self) -> None:
         """Serve the parsed requests, then call ``ReadFlow.regulate``."""
@@ -43,7 +43,7 @@
         "_backlog_since",
         "_body_backpressure",
         "_consecutive_errors",
-        "_events",
+        "_handler",
         "_parser",
         "_pipeline",
         "_scheduled",
@@ -58,13 +58,13 @@
 
     def __init__(
         self,
-        events: FlowEvents,
+        handler: FlowControlHandler,
         parser: RequestParser,
         pipeline: Pipeline,
         body_backpressure: BodyBackpressure,
         timeouts: ClientTimeouts,
     ) -> None:
-        self._events = events
+        self._handler = handler
         self._parser = parser
         self._pipeline = pipeline
         self._body_backpressure = body_backpressure
@@ -115,16 +115,16 @@
                 if self._pipeline.total_queued - queued_before >= MAX_QUEUED_REQUESTS:
                     break
         except RequestError as error:
-            self._events.on_read_error(error)
+            self._handler.on_read_error(error)
         except Exception as error:  # an internal error must not affect other connections
-            self._events.on_read_fault(error)
+            self._handler.on_read_fault(error)
         self._scheduled = False
 
     def _parse_scheduled(self) -> None:
         """Parse in a later turn of the event loop, and serve the requests found."""
         if not self.stopped:
             self.parse()
-            self._events.process_pipeline()
+            self._handler.process_pipeline()
 
     def _is_blocked(self) -> bool:
         """Return whether parsed input has to be processed before more is parsed."""
@@ -177,4 +177,4 @@
     def _end_error_pause(self) -> None:
         """Serve the connection again after a pause for errors."""
         self.error_pause = False
-        self._events.process_pipeline()
+        self._handler.process_pipeline()
--- a/indigokeel/net/downstream/request_dispatcher.py
+++ b/indigokeel/net/downstream/request_dispatcher.py
@@ -39,7 +39,7 @@
 
 
 class RequestDispatcher(Generic[ConnectionT]):
-    """Hand the requests of a connection to the sidecar; handle the events of its input and its writer.
+    """Hand the requests of a connection to the sidecar; handle the callbacks of its input and its writer.
 
     The input and the writer refer to the dispatcher weakly, and the dispatcher to its connection, so that all
     are freed by reference counting.
@@ -69,9 +69,9 @@
         self._connection = connection
         self._handler = handler
         self._counters = counters
-        events = weakref.proxy(self)
-        self.input = RequestInput(events, lambda: handler.settings, timeouts)
-        self.writer = ResponseWriter(events, timeouts, counters)
+        dispatcher = weakref.proxy(self)
+        self.input = RequestInput(dispatcher, lambda: handler.settings, timeouts)
+        self.writer = ResponseWriter(dispatcher, timeouts, counters)
         self.exchange = CurrentExchange(connection, handler, counters, self.input, self.writer, timeouts)
         self._processing = False
         self._admitted = False  # by load shedding: the next request need not be checked again
--- a/indigokeel/net/downstream/request_input.py
+++ b/indigokeel/net/downstream/request_input.py
@@ -7,17 +7,17 @@
 
 from indigokeel.balancing.settings import Settings
 from indigokeel.net.downstream.client_timeouts import ClientTimeouts
-from indigokeel.net.downstream.flow_control import FlowEvents, ReadFlow
+from indigokeel.net.downstream.flow_control import FlowControlHandler, ReadFlow
 from indigokeel.net.downstream.pipeline import Pipeline
 from indigokeel.net.downstream.received_request import ReceivedRequest
 from indigokeel.net.downstream.request_parser import RequestParser
-from indigokeel.net.downstream.request_receiver import ReceiverEvents, RequestReceiver
+from indigokeel.net.downstream.request_receiver import RequestReceiver, RequestReceiverHandler
 from indigokeel.net.http import RequestError
 from indigokeel.net.streams import RequestStream
 
 
-class InputEvents(FlowEvents, ReceiverEvents, Protocol):
-    """The receiver of the input's events. It owns the input, which therefore refers to it weakly."""
+class RequestInputHandler(FlowControlHandler, RequestReceiverHandler, Protocol):
+    """Receives the callbacks of the input. It owns the input, which therefore refers to it weakly."""
 
 
 class RequestInput:
@@ -26,12 +26,12 @@
     __slots__ = ("_receiver", "continue_expected", "flow", "parser", "pipeline", "read_error")
 
     def __init__(
-        self, events: InputEvents, settings: Callable[[], Settings], timeouts: ClientTimeouts
+        self, handler: RequestInputHandler, settings: Callable[[], Settings], timeouts: ClientTimeouts
     ) -> None:
         self.pipeline = Pipeline()
-        self._receiver = RequestReceiver(events, self.pipeline, timeouts)
+        self._receiver = RequestReceiver(handler, self.pipeline, timeouts)
         self.parser = RequestParser(self._receiver, settings)
-        self.flow = ReadFlow(events, self.parser, self.pipeline, self._receiver, timeouts)
+        self.flow = ReadFlow(handler, self.parser, self.pipeline, self._receiver, timeouts)
         self.read_error: RequestError | None = None  # reported after the responses to the requests before it
         self.continue_expected = False  # ``100 Continue`` is due once the requests before are served
 
--- a/indigokeel/net/downstream/request_parser.py
+++ b/indigokeel/net/downstream/request_parser.py
@@ -22,8 +22,8 @@
 _HEALTH_TARGET = b"/_health"
 
 
-class RequestEvents(RequestStreamSource, Protocol):
-    """The receiver of the parser's events, and the source of streamed bodies."""
+class RequestParserHandler(RequestStreamSource, Protocol):
+    """Receives the callbacks of the parser, and is the source of streamed bodies."""
 
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
         """Handle a complete request."""
@@ -50,11 +50,11 @@
 
 
 class RequestParser:
-    """Parse requests and report them as events. httptools calls the ``on_`` methods."""
+    """Parse requests and pass them to a handler. httptools calls the ``on_`` methods."""
 
     __slots__ = (
         "_content_length",
-        "_events",
+        "_handler",
         "_head_bytes",
         "_headers",
         "_parser",
@@ -69,9 +69,9 @@
         "request_stream",
     )
 
-    def __init__(self, events: RequestEvents, settings: Callable[[], Settings]) -> None:
+    def __init__(self, handler: RequestParserHandler, settings: Callable[[], Settings]) -> None:
         """Create a parser; ``settings`` returns the current settings."""
-        self._events = events
+        self._handler = handler
         self._settings = settings
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self._target = b""
@@ -158,7 +158,7 @@
         if parser.should_upgrade():
             raise RequestError(400, "no other protocol is spoken here")
         if self._headers.get(b"expect", b"").lower() == b"100-continue":
-            self._events.on_continue_expected()
+            self._handler.on_continue_expected()
         if self._target == _HEALTH_TARGET:
             return
         try:
@@ -184,7 +184,7 @@
         text = "" if self._parser.get_method() == b"HEAD" else str(error)  # a response to HEAD has no body
         # A raised error keeps the frames of its traceback alive; a new one can be queued without them.
         queued = RequestError(error.status, text)
-        self._events.on_invalid_request(queued, self._parser.should_keep_alive())
+        self._handler.on_invalid_request(queued, self._parser.should_keep_alive())
 
     def on_body(self, data: bytes) -> None:
         """Buffer, stream or discard a part of the body. Raises RequestError if the body is too large."""
@@ -204,11 +204,11 @@
         outbound = received.outbound
         outbound.body.append(data)
         if self.body_bytes > http.MAX_BUFFERED_BODY:
-            self.request_stream = RequestStream(self._events, self._content_length, outbound.body)
+            self.request_stream = RequestStream(self._handler, self._content_length, outbound.body)
             outbound.request_stream = self.request_stream
             outbound.body = []
             received.request.body_streamed = True
-            self._events.on_stream_started(received)
+            self._handler.on_stream_started(received)
         elif len(outbound.body) >= _MAX_BODY_CHUNKS:
             outbound.body[:] = [b"".join(outbound.body)]
 
@@ -223,10 +223,10 @@
         request_stream = self.request_stream
         self.request_stream = None
         if request_stream is not None and received is not None:
-            self._events.on_stream_ended(request_stream, received, keep_alive)
+            self._handler.on_stream_ended(request_stream, received, keep_alive)
         elif self.already_responded:
-            self._events.on_body_discarded()
+            self._handler.on_body_discarded()
         elif received is not None:
-            self._events.on_request(received, keep_alive)
+            self._handler.on_request(received, keep_alive)
         else:
-            self._events.on_health_check(keep_alive)
+            self._handler.on_health_check(keep_alive)
--- a/indigokeel/net/downstream/request_receiver.py
+++ b/indigokeel/net/downstream/request_receiver.py
@@ -12,8 +12,8 @@
 from indigokeel.net.streams import RequestStream
 
 
-class ReceiverEvents(Protocol):
-    """The receiver of events that concern the request being served."""
+class RequestReceiverHandler(Protocol):
+    """Receives the callbacks that concern the request being served."""
 
     def has_disconnected(self) -> bool:
         """Return whether the operating system reports that the client has disconnected."""
@@ -32,16 +32,16 @@
 
 
 class RequestReceiver:
-    """Handle the parser's events; implements ``RequestEvents``.
+    """Handle the parser's callbacks; implements ``RequestParserHandler``.
 
     A request with a streamed body waits for its turn here, outside of the pipeline; until then, nothing
     behind it is parsed.
     """
 
-    __slots__ = ("_events", "_pipeline", "_stream_full", "_streamed_request", "_timeouts", "is_blocked")
+    __slots__ = ("_handler", "_pipeline", "_stream_full", "_streamed_request", "_timeouts", "is_blocked")
 
-    def __init__(self, events: ReceiverEvents, pipeline: Pipeline, timeouts: ClientTimeouts) -> None:
-        self._events = events
+    def __init__(self, handler: RequestReceiverHandler, pipeline: Pipeline, timeouts: ClientTimeouts) -> None:
+        self._handler = handler
         self._pipeline = pipeline
         self._timeouts = timeouts
         self._stream_full = False  # buffered parts of the streamed body must be forwarded before more is read
@@ -65,12 +65,12 @@
         self._stream_full = stream_full
         self.is_blocked = stream_full or streamed_request is not None
 
-    # --- parser events --------------------------------------------------------------------------------
+    # --- parser callbacks -----------------------------------------------------------------------------
 
     def on_request(self, received: ReceivedRequest, keep_alive: bool) -> None:
         """Queue a complete request."""
         self._timeouts.restart(time.monotonic())
-        received.outbound.has_client_disconnected = self._events.has_disconnected
+        received.outbound.has_client_disconnected = self._handler.has_disconnected
         self._pipeline.append(PendingRequest(self._pipeline.arrived_at, keep_alive, received))
 
     def on_health_check(self, keep_alive: bool) -> None:
@@ -86,15 +86,15 @@
     def on_body_discarded(self) -> None:
         """Handle the last byte of a request that was responded to before it was complete."""
         self._timeouts.restart(time.monotonic())
-        self._events.on_body_discarded()
+        self._handler.on_body_discarded()
 
     def on_continue_expected(self) -> None:
         """Report that the client waits for ``100 Continue``."""
-        self._events.on_continue_expected()
+        self._handler.on_continue_expected()
 
     def on_stream_started(self, received: ReceivedRequest) -> None:
         """Hold a request with a streamed body until its turn."""
-        received.outbound.has_client_disconnected = self._events.has_disconnected
+        received.outbound.has_client_disconnected = self._handler.has_disconnected
         self._update_blocking(received, self._stream_full)
 
     def on_stream_ended(
@@ -105,7 +105,7 @@
         if self._streamed_request is not None:
             self._queue_buffered(request_stream, received, keep_alive)
         else:
-            self._events.on_stream_ended(request_stream, keep_alive)
+            self._handler.on_stream_ended(request_stream, keep_alive)
 
     def _queue_buffered(
         self, request_stream: RequestStream, received: ReceivedRequest, keep_alive: bool
@@ -122,13 +122,13 @@
     def pause(self) -> None:
         """Pause reading until the buffered part of the streamed body has been forwarded."""
         self._update_blocking(self._streamed_request, stream_full=True)
-        self._events.regulate_reading()
+        self._handler.regulate_reading()
 
     def resume(self) -> None:
         """Resume reading the streamed body."""
         self._update_blocking(self._streamed_request, stream_full=False)
-        self._events.regulate_reading()
+        self._handler.regulate_reading()
 
     def has_disconnected(self) -> bool:
         """Return whether the operating system reports that the client has disconnected."""
-        return self._events.has_disconnected()
+        return self._handler.has_disconnected()
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -17,8 +17,8 @@
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
-class WriterEvents(Protocol):
-    """The receiver of the writer's events, which report the end of a streamed response."""
+class ResponseWriterHandler(Protocol):
+    """Receives the callbacks of the writer, which report the end of a streamed response."""
 
     def on_response_written(self) -> None:
         """Handle the end of a complete streamed response."""
@@ -30,10 +30,10 @@
 class ResponseWriter:
     """Write responses; implements ``streams.Reader`` for streamed ones."""
 
-    __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "write_paused")
+    __slots__ = ("_counters", "_handler", "_stream", "_timeouts", "_transport", "write_paused")
 
-    def __init__(self, events: WriterEvents, timeouts: ClientTimeouts, counters: Counters) -> None:
-        self._events = events
+    def __init__(self, handler: ResponseWriterHandler, timeouts: ClientTimeouts, counters: Counters) -> None:
+        self._handler = handler
         self._timeouts = timeouts
         self._counters = counters
         self._transport: asyncio.Transport
@@ -95,11 +95,11 @@
             return
         if not is_complete:
             self._counters.add("answers_cut_off")
-            self._events.on_response_truncated()
+            self._handler.on_response_truncated()
             return
         if stream.length < 0:
             self._transport.write(_LAST_CHUNK)
-        self._events.on_response_written()
+        self._handler.on_response_written()
 
     def abandon_stream(self) -> None:
         """Cancel the streamed response, if there is one."""
--- a/indigokeel/net/upstream/connection.py
+++ b/indigokeel/net/upstream/connection.py
@@ -190,7 +190,7 @@
             handler.on_closed(CloseReason())
 
     def on_data(self, data: bytes) -> None:
-        """Pass received bytes to the handler (ReadEvents)."""
+        """Pass received bytes to the handler (ReadHandler)."""
         handler = self.handler
         if handler is None or self.state is ConnectionState.IDLE:
             self._fail(None)
@@ -202,15 +202,15 @@
             self._fail(None)
 
     def on_read_end(self, at_eof: bool) -> None:
-        """Close the connection and notify the handler and the owner (ReadEvents)."""
+        """Close the connection and notify the handler and the owner (ReadHandler)."""
         self._fail(None, at_eof)
 
     def expects_data(self) -> bool:
-        """Return whether a response may be expected (ReadEvents)."""
+        """Return whether a response may be expected (ReadHandler)."""
         return self.state is ConnectionState.IN_USE
 
     def on_all_written(self) -> None:
-        """Notify the handler that all bytes are written (WriteEvents)."""
+        """Notify the handler that all bytes are written (WriteHandler)."""
         try:
             if self.handler is not None:
                 self.handler.on_writable()
@@ -219,7 +219,7 @@
             self._fail(None)
 
     def on_write_error(self, error: LocalError | None) -> None:
-        """Close the connection and notify the handler and the owner (WriteEvents)."""
+        """Close the connection and notify the handler and the owner (WriteHandler)."""
         self._fail(error)
 
     def _connect(self, sock: socket.socket) -> None:
--- a/indigokeel/net/upstream/socket_reader.py
+++ b/indigokeel/net/upstream/socket_reader.py
@@ -13,7 +13,7 @@
 _READ_BYTES = 64 * 1024  # at most, per read
 
 
-class ReadEvents(Protocol):
+class ReadHandler(Protocol):
     """The receiver of read data and of the end of the stream."""
 
     def on_data(self, data: bytes) -> None:
@@ -29,13 +29,13 @@
 class SocketReader:
     """Reads from one socket. Reading can be paused, and reads that fail locally are retried."""
 
-    __slots__ = ("_events", "_loop", "_poll", "_retry_delays", "_retry_timer", "_sock", "_watching")
+    __slots__ = ("_handler", "_loop", "_poll", "_retry_delays", "_retry_timer", "_sock", "_watching")
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, events: ReadEvents, retry_delays: LocalRetryDelays
+        self, loop: asyncio.AbstractEventLoop, handler: ReadHandler, retry_delays: LocalRetryDelays
     ) -> None:
         self._loop = loop
-        self._events = events
+        self._handler = handler
         self._sock: socket.socket | None = None
         self._poll: select.poll | None = None
         self._watching = False
@@ -82,7 +82,7 @@
         self._receive()
         # uvloop reports data and a reset that follows it as one event, so the socket is polled for an error
         # while a response is expected. An idle connection is checked before its next use.
-        while self._watching and self._events.expects_data() and self._has_error():
+        while self._watching and self._handler.expects_data() and self._has_error():
             self._receive()
 
     def _receive(self) -> None:
@@ -96,9 +96,9 @@
             return
         self._retry_delays.reset()
         if data:
-            self._events.on_data(data)
+            self._handler.on_data(data)
         else:
-            self._events.on_read_end(at_eof=True)
+            self._handler.on_read_end(at_eof=True)
 
     def _on_error(self, error: OSError) -> None:
         match classify_errno(error.errno, SocketOperation.READ):
@@ -106,7 +106,7 @@
                 self.pause()
                 self._retry_timer = self._loop.call_later(self._retry_delays.next_delay_s(), self.resume)
             case ErrorCategory.UPSTREAM:
-                self._events.on_read_end(at_eof=False)
+                self._handler.on_read_end(at_eof=False)
 
     def _has_error(self) -> bool:
         """Poll the socket. Return whether an error is pending, possibly after unread data."""
--- a/indigokeel/net/upstream/socket_writer.py
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -16,7 +16,7 @@
 Chunks = Sequence[bytes | memoryview]
 
 
-class WriteEvents(Protocol):
+class WriteHandler(Protocol):
     """The receiver of the results of deferred writes."""
 
     def on_all_written(self) -> None:
@@ -30,15 +30,15 @@
     """Writes to one socket, in order, and retries writes that fail locally."""
 
     __slots__ = (
-        "_events", "_fd", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
+        "_fd", "_handler", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
         "_unsent", "_watching",
     )  # fmt: skip
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, events: WriteEvents, retry_delays: LocalRetryDelays
+        self, loop: asyncio.AbstractEventLoop, handler: WriteHandler, retry_delays: LocalRetryDelays
     ) -> None:
         self._loop = loop
-        self._events = events
+        self._handler = handler
         self._fd = _CLOSED
         self._unsent: list[bytes | memoryview] = []
         self._watching = False
@@ -118,10 +118,10 @@
             return
         written, result = self._write_once(self._unsent)
         if result is ErrorCategory.UPSTREAM:
-            self._events.on_write_error(None)
+            self._handler.on_write_error(None)
             return
         if result is ErrorCategory.LOCAL and self._stalled_s >= self._stall_timeout_s:
-            self._events.on_write_error(
+            self._handler.on_write_error(
                 LocalError("write failed for lack of a local resource until the retries timed out")
             )
             return
@@ -133,7 +133,7 @@
             self._schedule(result)
             return
         self._unwatch()
-        self._events.on_all_written()
+        self._handler.on_all_written()
 
     def _unwatch(self) -> None:
         if self._watching:
