--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -70,7 +70,7 @@
         # hanging; ejecting it would shift its load to the other upstreams.
         if upstream.last_success_at < attempt.sent_at:
             weight = 2 if elapsed_s > HANG_LATENCY_RATIO * attempt.expected_s else 1
-            self._ejection.record_failure(now, upstream, weight, silent=True)
+            self._ejection.record_failure(now, upstream, weight, timed_out=True)
 
     def _record_failure(self, now: float, attempt: AttemptState, outcome: AttemptOutcome) -> None:
         upstream = attempt.upstream
@@ -78,7 +78,7 @@
         if outcome is AttemptOutcome.REJECTED:
             self._ejection.record_common_failures()
         else:
-            upstream.uncounted_errors += 1
+            upstream.unattributed_errors += 1
         self._ejection.record_failure(now, upstream)
 
 
--- a/indigokeel/balancing/attempt_sender.py
+++ b/indigokeel/balancing/attempt_sender.py
@@ -44,7 +44,7 @@
         expected_s = request.class_statistics.expected_latency_s(request.hint_s)
         attempt = AttemptState(upstream, now, expected_s)
         request.attempts.append(attempt)
-        request.class_statistics.refused_in_a_row = 0
+        request.class_statistics.consecutive_rejections = 0
         upstream.add_open_attempts(1)
         self._traffic.record_attempt()
         self._idle_connections.mark_used(upstream)
--- a/indigokeel/balancing/capacity_estimates.py
+++ b/indigokeel/balancing/capacity_estimates.py
@@ -36,6 +36,6 @@
         """Return the capacity of an upstream when warm, relative to the mean of the fleet."""
         return upstream.scale * math.exp(upstream.log_capacity.value() - self.fleet.value())
 
-    def present_capacity(self, upstream: UpstreamState) -> float:
+    def current_capacity(self, upstream: UpstreamState) -> float:
         """Return the capacity of an upstream at its current warm-up weight, in requests per second."""
         return upstream.warm_up_weight * upstream.scale * math.exp(upstream.log_capacity.value())
--- a/indigokeel/balancing/class_statistics.py
+++ b/indigokeel/balancing/class_statistics.py
@@ -16,7 +16,8 @@
     """The arrivals, usual latency and usual work estimate of one request class."""
 
     __slots__ = (
-        "arrivals", "early_rejection_ratio", "name", "refused_in_a_row", "usual_hint_s", "usual_latency_s",
+        "arrivals", "consecutive_rejections", "early_rejection_ratio", "name", "usual_hint_s",
+        "usual_latency_s",
     )  # fmt: skip
 
     def __init__(self, settings: ClassSettings) -> None:
@@ -25,7 +26,7 @@
         self.early_rejection_ratio = 0.0  # rejected before any work is done while the sidecar is overloaded
         self.usual_latency_s = settings.latency_objective * INITIAL_LATENCY_RATIO
         self.usual_hint_s = 0.0
-        self.refused_in_a_row = (
+        self.consecutive_rejections = (
             0  # consecutive requests without an upstream of enough capacity; reset by an attempt
         )
 
--- a/indigokeel/balancing/outlier_ejection.py
+++ b/indigokeel/balancing/outlier_ejection.py
@@ -48,9 +48,9 @@
         """Record a successful response of an upstream, which ends an ejection for timeouts."""
         self._failure_ratio *= FAILURE_RATIO_DECAY
         # Errors of an upstream count towards the failure ratio of healthy ones only once it serves again.
-        if upstream.uncounted_errors:
-            self.record_common_failures(upstream.uncounted_errors)
-            upstream.uncounted_errors = 0
+        if upstream.unattributed_errors:
+            self.record_common_failures(upstream.unattributed_errors)
+            upstream.unattributed_errors = 0
         upstream.consecutive_failures = 0
         upstream.last_success_at = now
         upstream.ejection_time_s = EJECTION_INITIAL_S
@@ -64,11 +64,11 @@
         self._failure_ratio = 1.0 - (1.0 - self._failure_ratio) * FAILURE_RATIO_DECAY**count
 
     def record_failure(
-        self, now: float, upstream: UpstreamState, weight: int = 1, silent: bool = False
+        self, now: float, upstream: UpstreamState, weight: int = 1, timed_out: bool = False
     ) -> None:
         """Record a failure that counts ``weight`` times, and eject the upstream after too many in a row.
 
-        ``silent``: the upstream did not respond at all.
+        ``timed_out``: the upstream did not respond at all.
         """
         upstream.consecutive_failures += weight
         required = self._required_failures()
@@ -78,7 +78,7 @@
             return
         ejected = sum(1 for u in self._registry.all_serving() if u.ejected_until > now)
         if ejected < self._registry.serving_count() * MAX_EJECTED_RATIO:
-            self._eject(now, upstream, silent)
+            self._eject(now, upstream, timed_out)
             upstream.consecutive_failures = required - 1  # after the ejection one more failure is enough
 
     def _required_failures(self) -> int:
@@ -87,15 +87,15 @@
         required = math.ceil(math.log(FALSE_EJECTION_PROBABILITY) / math.log(ratio))
         return min(required, MAX_REQUIRED_FAILURES)
 
-    def _eject(self, now: float, upstream: UpstreamState, silent: bool) -> None:
+    def _eject(self, now: float, upstream: UpstreamState, timed_out: bool) -> None:
         # A sidecar with little traffic would not choose the upstream again for a while anyway; the ejection
         # has to last long enough to make a difference.
         arrivals_per_s = self._traffic.arrivals_per_s(now) + MIN_ARRIVALS_PER_S
         revisit_s = len(self._subset.members) / arrivals_per_s
         ejection_s = max(upstream.ejection_time_s, MIN_EJECTION_RATIO * revisit_s)
         upstream.ejected_until = now + min(ejection_s, MAX_EJECTION_S)
-        upstream.ejected_for_timeouts = silent
+        upstream.ejected_for_timeouts = timed_out
         upstream.ejection_time_s = min(upstream.ejection_time_s * 2.0, MAX_EJECTION_S)
-        upstream.uncounted_errors = 0
+        upstream.unattributed_errors = 0
         self._subset.invalidate()
         self._sink.add(LogMessage(f"ejected {upstream.member.id}: consecutive failures"))
--- a/indigokeel/balancing/upstream_selection.py
+++ b/indigokeel/balancing/upstream_selection.py
@@ -66,8 +66,10 @@
         with_capacity = [u for u in usable if u.warm_up_weight >= 1.0 and _has_capacity(now, u, request)]
         if with_capacity:
             return self._selection.choose(now, with_capacity, key)
-        request.class_statistics.refused_in_a_row += 1
-        return upstream if request.class_statistics.refused_in_a_row > MAX_CONSECUTIVE_REJECTIONS else None
+        request.class_statistics.consecutive_rejections += 1
+        return (
+            upstream if request.class_statistics.consecutive_rejections > MAX_CONSECUTIVE_REJECTIONS else None
+        )
 
     def _select_for_further_attempt(self, now: float, request: RequestState) -> UpstreamState | None:
         """Select an upstream that this request has not tried and that is not warming up.
--- a/indigokeel/balancing/upstream_state.py
+++ b/indigokeel/balancing/upstream_state.py
@@ -37,8 +37,9 @@
         "consecutive_failures", "ejected_for_timeouts", "ejected_until", "ejection_time_s",
         "health_check_pending", "health_checked_at", "last_success_at", "latency_log_sum", "latency_weight",
         "listener", "load_reported_at", "log_capacity", "member", "name_hash", "open_attempts",
-        "other_in_flight", "overdue_attempts", "rate", "relative_capacity", "reports", "scale", "slot",
-        "slot_remaining", "uncounted_errors", "utilisation", "warm_up_weight", "weight", "weight_valid_until",
+        "other_in_flight", "overdue_attempts", "quota_remaining", "quota_slot", "rate", "relative_capacity",
+        "reports", "scale", "unattributed_errors", "utilisation", "warm_up_weight", "weight",
+        "weight_valid_until",
     )  # fmt: skip
 
     def __init__(self, member: Member, group_capacity: ShrinkageEstimate) -> None:
@@ -64,12 +65,12 @@
         self.warm_up_weight = 1.0
         self.weight = 1.0
         self.weight_valid_until = -math.inf
-        self.slot = -math.inf  # number of the current time slot of the warm-up quota
-        self.slot_remaining = 0  # requests that the quota still allows in that slot
+        self.quota_slot = -math.inf  # number of the current time slot of the warm-up quota
+        self.quota_remaining = 0  # requests that the quota still allows in that slot
         self.listener: UpstreamListener | None = None
 
         self.consecutive_failures = 0
-        self.uncounted_errors = 0  # errors not yet attributed to the fleet or to this upstream
+        self.unattributed_errors = 0  # errors not yet attributed to the fleet or to this upstream
         self.last_success_at = -math.inf
         self.ejected_until = 0.0
         self.ejection_time_s = EJECTION_INITIAL_S
@@ -127,7 +128,7 @@
         self.latency_weight.add(now, 1.0)
         self.invalidate_weight()
 
-    def slowness(self, now: float) -> float:
+    def relative_latency(self, now: float) -> float:
         """Return the mean of the observed latency / expected latency, shrunk towards 1."""
         weight = self.latency_weight.value(now)
         if not weight:
--- a/indigokeel/balancing/upstream_weights.py
+++ b/indigokeel/balancing/upstream_weights.py
@@ -30,7 +30,7 @@
         upstream.relative_capacity = self._capacities.relative_capacity(upstream)
         started = upstream.member.started
         upstream.warm_up_weight = slow_start.warm_up_weight(self._safety, started, now)
-        weight = upstream.relative_capacity * upstream.warm_up_weight / upstream.slowness(now)
+        weight = upstream.relative_capacity * upstream.warm_up_weight / upstream.relative_latency(now)
         if upstream.overdue_attempts:
             # An upstream that hangs sends no load reports; only the age of open attempts reveals the hang.
             weight *= OVERDUE_WEIGHT_RATIO
--- a/indigokeel/balancing/warm_up_admission.py
+++ b/indigokeel/balancing/warm_up_admission.py
@@ -85,7 +85,7 @@
         """
         if self._load is not None:
             self._start_slot(now, upstream)
-            if upstream.slot_remaining <= 0:
+            if upstream.quota_remaining <= 0:
                 return False
         capacity_ratio = upstream.warm_up_weight * upstream.relative_capacity / self._used_capacity
         attempts_per_response = self._traffic.attempts_per_response()
@@ -94,14 +94,14 @@
         )
         if allowed < traffic_ratio and self._random.random() * traffic_ratio >= allowed:
             return False
-        upstream.slot_remaining -= 1
+        upstream.quota_remaining -= 1
         return True
 
     def _start_slot(self, now: float, upstream: UpstreamState) -> None:
         """Renew the quota of an upstream if a new slot has started."""
         slot = (now - upstream.member.started) // (self._safety.overload_window / 2.0)
-        if slot == upstream.slot:
+        if slot == upstream.quota_slot:
             return
-        upstream.slot = slot
-        capacity = self._capacities.present_capacity(upstream)
-        upstream.slot_remaining = slow_start.slot_quota(self._safety, capacity, self._fleet_traffic_share)
+        upstream.quota_slot = slot
+        capacity = self._capacities.current_capacity(upstream)
+        upstream.quota_remaining = slow_start.slot_quota(self._safety, capacity, self._fleet_traffic_share)
--- a/tests/unit/balancing/test_open_requests.py
+++ b/tests/unit/balancing/test_open_requests.py
@@ -88,12 +88,12 @@
     driver.now += 0.5
     for timer in of(actions, SetTimer):
         driver.balancer.handle(driver.now, TimerFired(timer.token))
-    slowness = upstream.slowness(driver.now)
-    assert driver.balancer._traffic.late_count(driver.now) == 1.0 and slowness > 1.0
+    latency = upstream.relative_latency(driver.now)
+    assert driver.balancer._traffic.late_count(driver.now) == 1.0 and latency > 1.0
     assert upstream.consecutive_failures > 0
     driver.end(send, outcome, elapsed=0.5)
     assert driver.balancer._traffic.late_count(driver.now) == 1.0
-    assert upstream.slowness(driver.now) == slowness
+    assert upstream.relative_latency(driver.now) == latency
     assert (upstream.consecutive_failures == 0) is (outcome is AttemptOutcome.OK)
 
 
