--- a/indigokeel/balancing/attempt_dispatcher.py
+++ b/indigokeel/balancing/attempt_dispatcher.py
@@ -5,7 +5,7 @@
 from indigokeel.balancing import retry_policy
 from indigokeel.balancing.attempt_sender import AttemptSender
 from indigokeel.balancing.events import AttemptOutcome
-from indigokeel.balancing.open_requests import OpenRequests
+from indigokeel.balancing.request_registry import RequestRegistry
 from indigokeel.balancing.request_state import AttemptState, RequestState
 from indigokeel.balancing.retry_policy import RETRY_PRICE, TIME_LIMIT_MARGIN_S, RetryBudget
 from indigokeel.balancing.settings import Settings
@@ -20,7 +20,7 @@
         self,
         settings: Settings,
         registry: UpstreamRegistry,
-        requests: OpenRequests,
+        requests: RequestRegistry,
         selector: UpstreamSelector,
         sender: AttemptSender,
         budget: RetryBudget,
--- a/indigokeel/balancing/balancer.py
+++ b/indigokeel/balancing/balancer.py
@@ -35,12 +35,12 @@
 from indigokeel.balancing.hashing import hash64
 from indigokeel.balancing.health_checks import HealthChecks
 from indigokeel.balancing.idle_connections import IdleConnections
-from indigokeel.balancing.learned_figures import LearnedFigures
+from indigokeel.balancing.learned_statistics import LearnedStatistics
 from indigokeel.balancing.load_shedding import LoadShedding
-from indigokeel.balancing.open_requests import OpenRequests
 from indigokeel.balancing.outlier_ejection import OutlierEjection
 from indigokeel.balancing.rejection_sampling import RejectionSampler
 from indigokeel.balancing.request_mix import RequestMix
+from indigokeel.balancing.request_registry import RequestRegistry
 from indigokeel.balancing.request_state import AttemptState, RequestState
 from indigokeel.balancing.retry_policy import RetryBudget
 from indigokeel.balancing.selection_index import SelectionIndex
@@ -88,7 +88,7 @@
         self._health_checks = HealthChecks(settings, self._registry, self._subset, ejection, self._sink)
 
         self._idle_connections = IdleConnections(settings, self._sink)
-        self._requests = OpenRequests(settings, self._timers, self._sink)
+        self._requests = RequestRegistry(settings, self._timers, self._sink)
         budget = RetryBudget()
         self._results = AttemptResults(ejection, self._traffic, budget)
         self._timeouts = AttemptTimeouts(settings, budget, self._early_admission.loop_lag_s)
@@ -140,9 +140,9 @@
         self._timeouts.apply_settings(settings)
         self._dispatcher.apply_settings(settings)
 
-    def learned_figures(self) -> LearnedFigures:
-        """Return the learned figures, not copied, for hand-over to the next process of this sidecar."""
-        return LearnedFigures(
+    def learned_statistics(self) -> LearnedStatistics:
+        """Return the learned statistics, not copied, for hand-over to the next process of this sidecar."""
+        return LearnedStatistics(
             self._mix.statistics,
             self._registry.upstreams,
             self._capacities.fleet,
--- a/indigokeel/balancing/learned_figures.py
+++ b/indigokeel/balancing/learned_statistics.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LearnedFigures:
+class LearnedStatistics:
     """References to live state of a balancer: read to export what it has learned, changed to restore it."""
 
     classes: dict[str, ClassStatistics]
--- a/indigokeel/balancing/open_requests.py
+++ b/indigokeel/balancing/request_registry.py
@@ -16,7 +16,7 @@
 MAX_WAIT_RATIO = 0.4  # fraction of its remaining time that a request may wait for an upstream
 
 
-class OpenRequests:
+class RequestRegistry:
     """Requests from arrival until their last attempt has ended, and those that wait for an upstream."""
 
     def __init__(self, settings: Settings, timers: Timers, sink: ActionSink) -> None:
--- a/indigokeel/hot_restart/learned_state.py
+++ b/indigokeel/hot_restart/learned_state.py
@@ -250,7 +250,7 @@
 
 def collect(balancer: Balancer, now: float) -> dict[str, Any] | None:
     """Return what is known at clock time ``now``, in its stored form; None if the fleet is too large."""
-    figures = balancer.learned_figures()
+    figures = balancer.learned_statistics()
     if len(figures.upstreams) > MAX_UPSTREAMS:
         return None
     frequent_keys = sorted(figures.key_counts.state().items(), key=lambda item: -item[1])[:MAX_KEYS]
@@ -280,7 +280,7 @@
 
 def _restore(balancer: Balancer, now: float, data: Any) -> None:
     offset = _figure(data.get(OFFSET, 0.0), -MAX_CLOCK_S, MAX_CLOCK_S)
-    figures = balancer.learned_figures()
+    figures = balancer.learned_statistics()
     for name, (latency, hint) in data["classes"].items():
         if name in figures.classes:
             ClassRecord.decode(latency, hint).apply(figures.classes[name])
--- a/indigokeel/process/housekeeping.py
+++ b/indigokeel/process/housekeeping.py
@@ -9,7 +9,7 @@
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.net.upstream.client import UpstreamClient
 from indigokeel.net.upstream.descriptor_audit import DescriptorLeakDetector
-from indigokeel.process.standstill import EventLoopWatchdog
+from indigokeel.process.event_loop_watchdog import EventLoopWatchdog
 from indigokeel.process.supervision import Supervisor
 
 _CHECK_INTERVAL_S = 0.2
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -25,12 +25,12 @@
 from indigokeel.process.counter_report import CounterReport
 from indigokeel.process.effect_executor import EffectExecutor
 from indigokeel.process.endpoint_feed import EndpointFeed
+from indigokeel.process.event_loop_watchdog import EventLoopWatchdog
 from indigokeel.process.housekeeping import Housekeeping
 from indigokeel.process.lag_monitor import LagMonitor
 from indigokeel.process.reload import ConfigReloader, ReloadTargets
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import Shutdown, ShutdownTimes
-from indigokeel.process.standstill import EventLoopWatchdog
 from indigokeel.process.state_persistence import StatePersistence
 from indigokeel.process.supervision import Supervisor
 from indigokeel.requests.coordinator import RequestCoordinator
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -71,7 +71,7 @@
     """Return the start time that the balancer assumes for each upstream."""
     return {
         name: upstream.member.started
-        for name, upstream in coordinator._balancer.learned_figures().upstreams.items()
+        for name, upstream in coordinator._balancer.learned_statistics().upstreams.items()
     }
 
 
@@ -303,7 +303,7 @@
         assert actual[3] == pytest.approx(health) and actual[2][:2] == pytest.approx(reports[:2])
 
 
-def test_upstream_that_has_restarted_takes_over_no_learned_figures() -> None:
+def test_upstream_that_has_restarted_takes_over_no_learned_statistics() -> None:
     old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 0.0)
     _serve_mixed_load(old)
     restarted = (replace(ENDPOINTS[0], since=NOW + 2.0), *ENDPOINTS[1:])
--- a/tests/unit/balancing/test_attempt_timeouts.py
+++ b/tests/unit/balancing/test_attempt_timeouts.py
@@ -101,7 +101,7 @@
 ) -> None:
     """Guards against timeouts from learned latencies that are too short for an attempt to be sent at all."""
     fleet = IdleFleet(hedging, latency_s)
-    fleet.driver.balancer.learned_figures().classes[class_name].usual_latency_s = max(latency_s, 1e-6)
+    fleet.driver.balancer.learned_statistics().classes[class_name].usual_latency_s = max(latency_s, 1e-6)
     assert [fleet.serve(class_name) for _ in range(300)].count(False) == 0
 
 
--- a/tests/unit/balancing/test_health_checks.py
+++ b/tests/unit/balancing/test_health_checks.py
@@ -76,7 +76,8 @@
             ended = HealthCheckEnded(health_check.upstream, AttemptOutcome.NOT_SENT, 0.001, None)
             assert not of(driver.balancer.handle(driver.now, ended), LogMessage)
             assert (
-                driver.balancer.learned_figures().upstreams[health_check.upstream].consecutive_failures == 0
+                driver.balancer.learned_statistics().upstreams[health_check.upstream].consecutive_failures
+                == 0
             )
         (send,) = sends(actions)
         driver.end(send)
--- a/tests/unit/balancing/test_open_requests.py
+++ b/tests/unit/balancing/test_request_registry.py
@@ -84,7 +84,7 @@
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(2))
     _, actions = driver.request("pay", budget=1.5)
     (send,) = sends(actions)
-    upstream = driver.balancer.learned_figures().upstreams[send.upstream]
+    upstream = driver.balancer.learned_statistics().upstreams[send.upstream]
     driver.now += 0.5
     for timer in of(actions, SetTimer):
         driver.balancer.handle(driver.now, TimerFired(timer.token))
--- a/tests/unit/balancing/test_upstream_selection.py
+++ b/tests/unit/balancing/test_upstream_selection.py
@@ -74,7 +74,7 @@
     """Guards against rejecting a class forever: the upstreams respond quickly by now, but the learned latency
     is still high, and without any attempt it would never be corrected."""
     driver = Driver(PROBED, named("a", "b"))
-    driver.balancer.learned_figures().classes["view"].usual_latency_s = 10.0
+    driver.balancer.learned_statistics().classes["view"].usual_latency_s = 10.0
     served = []
     for _ in range(4000):
         in_flight(driver, a=3, b=3)
--- a/tests/unit/requests/test_coordinator.py
+++ b/tests/unit/requests/test_coordinator.py
@@ -163,7 +163,7 @@
     coordinator = RequestCoordinator(make_settings(), 1, 50.0)
     coordinator.update_endpoints(1049.0, EndpointList(1, True, ENDPOINTS))
     coordinator.update_endpoints(1050.0, EndpointList(2, False, (replace(ENDPOINTS[0], since=since),)))
-    assert coordinator._balancer.learned_figures().upstreams[ENDPOINTS[0].name].member.started == started
+    assert coordinator._balancer.learned_statistics().upstreams[ENDPOINTS[0].name].member.started == started
 
 
 def test_cancelled_attempt_gets_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -212,7 +212,7 @@
     effects = coordinator.update_endpoints(100.1, EndpointList(3, True, ENDPOINTS))
     assert len(effects.attempts) == count
     coordinator.tick(110.0)  # long after any other attempt would count as overdue
-    upstreams = coordinator._balancer.learned_figures().upstreams.values()
+    upstreams = coordinator._balancer.learned_statistics().upstreams.values()
     assert sum(upstream.open_attempts for upstream in upstreams) == count
     assert sum(upstream.overdue_attempts for upstream in upstreams) == 0
 
