--- a/indigokeel/config/loader.py
+++ b/indigokeel/config/loader.py
@@ -29,13 +29,15 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # limit of descriptors that the process may have open
+    max_descriptors: int  # limit of descriptors that the process may have open
     known: EndpointList  # the endpoint list that this sidecar had last; may be outdated
     settings: Settings
-    mgmt: Address | None = None  # the address for operators; None: no admin server
+    admin_address: Address | None = None  # the address for operators; None: no admin server
     listen_fd: int = -1  # a listening socket inherited from the platform; -1: none
     state_dir: str = ""  # folder for the state files of this sidecar; "": no state is stored
-    raw: Mapping[str, Any] = field(default_factory=dict)  # content of the file, without that of ``known``
+    file_content: Mapping[str, Any] = field(
+        default_factory=dict
+    )  # content of the file, without that of ``known``
 
 
 def load_config(env: Mapping[str, str]) -> Config:
@@ -52,7 +54,7 @@
     """
     with _converted_to_config_errors():
         data = _read_file(env)
-        if fault := find_regression(current.raw, data):
+        if fault := find_regression(current.file_content, data):
             raise SettingsError(fault)
         return _decode(data, {key: value for key, value in env.items() if key != "BALANCER_DISCOVERY"})
 
@@ -79,7 +81,7 @@
 
 def _decode(data: dict[str, Any], env: Mapping[str, str]) -> Config:
     seed = data.get("seed", "0")
-    mgmt = env.get("BALANCER_MGMT") or data.get("mgmt")
+    admin_address = env.get("BALANCER_MGMT") or data.get("mgmt")
     settings = decode_settings(data["settings"])
     validate_settings(settings)
     return Config(
@@ -87,11 +89,11 @@
         listen=parse_address(env.get("BALANCER_LISTEN") or data["listen"]),
         discovery=parse_address(env.get("BALANCER_DISCOVERY") or data["discovery"]),
         seed=int(seed, 16) if isinstance(seed, str) else int(seed),
-        sockets=int(data.get("limits", {}).get("sockets", _DEFAULT_MAX_DESCRIPTORS)),
+        max_descriptors=int(data.get("limits", {}).get("sockets", _DEFAULT_MAX_DESCRIPTORS)),
         known=parse_endpoint_list(data.get("known") or _NO_ENDPOINTS),
         settings=settings,
-        mgmt=parse_address(mgmt) if mgmt else None,
+        admin_address=parse_address(admin_address) if admin_address else None,
         listen_fd=int(env.get("BALANCER_LISTEN_FD") or -1),
-        state_dir=env.get("TMPDIR", "") if mgmt else "",
-        raw={key: {} if key == "known" else value for key, value in data.items()},
+        state_dir=env.get("TMPDIR", "") if admin_address else "",
+        file_content={key: {} if key == "known" else value for key, value in data.items()},
     )
--- a/indigokeel/endpoints/directory.py
+++ b/indigokeel/endpoints/directory.py
@@ -19,12 +19,10 @@
     """The consequences of a change of the endpoint list or of the cordons."""
 
     membership: MembershipUpdate
-    moved: list[str] = field(
-        default_factory=list
-    )  # upstreams whose former address is no longer used: their idle connections are stale
-    added: list[str] = field(
-        default_factory=list
-    )  # upstreams to open a connection to before the first attempt
+    # Upstreams whose former address is no longer used, so that their idle connections are stale.
+    stale_upstreams: list[str] = field(default_factory=list)
+    # Upstreams to open a connection to before the first attempt.
+    new_upstreams: list[str] = field(default_factory=list)
 
 
 class EndpointDirectory:
@@ -73,7 +71,7 @@
         while len(self._former_names) > _MAX_FORMER_NAMES:
             self._former_names.pop(next(iter(self._former_names)))
         present = [endpoint for endpoint in update.endpoints if endpoint.state is not EndpointState.GONE]
-        self.start_times.note(now, {endpoint.name: endpoint.since for endpoint in present}, cached)
+        self.start_times.record_starts(now, {endpoint.name: endpoint.since for endpoint in present}, cached)
         return self._change(now, _update_kind(update, cached), update.endpoints, update.version)
 
     def _apply_endpoint(self, endpoint: Endpoint) -> None:
@@ -130,9 +128,13 @@
         self._replace_addresses(before, after, replaces_all)
         members = tuple(self._member(now, effective.get(item.name, item)) for item in endpoints)
         change = DirectoryChange(MembershipUpdate(kind, members, version))
-        change.moved = sorted(name for name, address in before.items() if after.get(name) != address)
+        change.stale_upstreams = sorted(
+            name for name, address in before.items() if after.get(name) != address
+        )
         if len(self._endpoints) <= _MAX_PRECONNECTED:
-            change.added = sorted(name for name, address in after.items() if before.get(name) != address)
+            change.new_upstreams = sorted(
+                name for name, address in after.items() if before.get(name) != address
+            )
         return change
 
     def _replace_addresses(
--- a/indigokeel/endpoints/start_times.py
+++ b/indigokeel/endpoints/start_times.py
@@ -68,13 +68,13 @@
             return None
         return StartsSnapshot(current_at, {n: self._starts[n] for n in names if n in self._starts})
 
-    def list_lost(self, now: float) -> None:
+    def record_discovery_lost(self, now: float) -> None:
         """Record that a call to discovery failed or that a watch ended."""
         if self._current_at is not None and not self._is_lost:
             self._current_at = now
             self._is_lost = True
 
-    def note(self, now: float, listed: Mapping[str, float], cached: bool) -> None:
+    def record_starts(self, now: float, listed: Mapping[str, float], cached: bool) -> None:
         """Convert the listed start times, by name; ``cached`` if discovery did not just send the list."""
         unconverted = {
             name: since
--- a/indigokeel/process/connection_budget.py
+++ b/indigokeel/process/connection_budget.py
@@ -25,10 +25,12 @@
     @classmethod
     def plan(cls, config: Config, system_limit: int | None) -> ConnectionBudget:
         """Divide the descriptors; ``system_limit`` is the limit that the system sets, or None."""
-        descriptors = config.sockets if system_limit is None else min(config.sockets, system_limit)
+        descriptors = (
+            config.max_descriptors if system_limit is None else min(config.max_descriptors, system_limit)
+        )
         if config.listen_fd >= 0:  # the next process may run at the same time, under the same limit
             descriptors //= 2
-        if config.mgmt is not None:
+        if config.admin_address is not None:
             descriptors -= MAX_ADMIN_CONNECTIONS
         available = descriptors - _RESERVED_DESCRIPTORS
         clients = max(int(available * _CLIENT_FRACTION), _MIN_CONNECTIONS)
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -150,7 +150,7 @@
             await self._restore_state()
             self._start_watch(loop)
             self._start_persistence()
-            if self._reloader.config.mgmt is not None:
+            if self._reloader.config.admin_address is not None:
                 self._supervisor.keep_running("admin server", self._start_admin_server)
             clients = self._accept_clients(loop, listener)
             self._start_housekeeping()
@@ -232,7 +232,7 @@
 
     async def _start_admin_server(self) -> None:
         """Listen on the admin address, retrying because an address in use may become free."""
-        address = self._reloader.config.mgmt
+        address = self._reloader.config.admin_address
         while address is not None:
             try:
                 await self._admin.listen(address)
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -225,7 +225,7 @@
 
     def endpoint_watch_failed(self, now: float) -> Effects:
         """Record that a call to discovery has failed or that a watch has ended."""
-        self._directory.start_times.list_lost(now)
+        self._directory.start_times.record_discovery_lost(now)
         effects = Effects()
         self._driver.deliver(now, MembershipUpdate(UpdateKind.FAILED), effects)
         return effects
@@ -270,8 +270,8 @@
         self._directory.start_times.inherit(snapshot)
 
     def _apply_change(self, now: float, change: DirectoryChange, effects: Effects) -> None:
-        effects.drain_connections += change.moved
-        effects.preconnect += change.added
+        effects.drain_connections += change.stale_upstreams
+        effects.preconnect += change.new_upstreams
         self._driver.deliver(now, change.membership, effects)
 
     def _apply_cordons(self, now: float, changed: list[str] | None) -> Effects | None:
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -56,7 +56,7 @@
 ) -> dict[str, float]:
     """Return the counted ages of upstreams with these true ages at clock time ``now``; inf: long ago."""
     listed = {name: 0.0 if age == math.inf else now - OFFSET_S - age for name, age in ages.items()}
-    times.note(now, listed, cached)
+    times.record_starts(now, listed, cached)
     starts = {name: times.started(name, since) for name, since in listed.items()}
     return {name: now - start if start else math.inf for name, start in starts.items()}
 
@@ -97,7 +97,7 @@
     for name, age in _counted_ages(times, NOW, true_ages).items():
         assert -0.001 <= age <= true_ages[name] + 0.001
     if is_list_lost:
-        times.list_lost(NOW)
+        times.record_discovery_lost(NOW)
     age = _counted_ages(times, NOW + later, {"new": later / 2.0})["new"]
     assert -0.001 <= age <= later / 2.0 + LIST_AGE + (later if is_list_lost else 0.0) + 0.001
 
@@ -122,8 +122,8 @@
     times, now = _create_start_times(step), NOW + 1000.0
     _counted_ages(times, NOW, {"a": math.inf, **({"b": 20_000.0} if is_known else {})})
     if lost_for:
-        times.list_lost(now - lost_for)
-        times.list_lost(now - 1.0)  # another call that failed
+        times.record_discovery_lost(now - lost_for)
+        times.record_discovery_lost(now - 1.0)  # another call that failed
     assert _counted_ages(times, now, {"b": age})["b"] == pytest.approx(counted)
     later = _counted_ages(times, now + 50.0, {"b": age + 50.0})["b"]  # the same start, listed again
     assert later == pytest.approx(counted + 50.0)
@@ -132,7 +132,7 @@
 def test_start_that_is_listed_again_keeps_its_clock_time() -> None:
     times = _create_start_times()
     _counted_ages(times, NOW, {"a": 5.0, "b": math.inf})
-    times.note(NOW + 1.0, {"b": 0.0}, False)
+    times.record_starts(NOW + 1.0, {"b": 0.0}, False)
     assert _counted_ages(times, NOW + 500.0, {"a": 505.0})["a"] == pytest.approx(500.0)
 
 
@@ -150,7 +150,7 @@
 
 def test_start_times_are_kept_for_a_large_fleet_and_bounded() -> None:
     times, names = _create_start_times(), [f"s-{number}" for number in range(5_000)]
-    times.note(NOW, dict.fromkeys(names, UNIX - 5.0), False)
+    times.record_starts(NOW, dict.fromkeys(names, UNIX - 5.0), False)
     times.forget_unlisted(set(names))
     assert all(times.started(name, UNIX - 5.0) for name in names)
     times.forget_unlisted(set(names[:10]))
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -27,7 +27,7 @@
     path.write_text(json.dumps(CONFIG))
     config = load_config({"BALANCER_CONFIG": str(path), "BALANCER_LISTEN": "127.0.0.1:4000"})
     assert (config.name, config.listen[1], config.discovery[1], config.seed) == ("n3", 4000, 85, 255)
-    assert config.settings.limits.max_attempts == 5 and config.sockets == 1024
+    assert config.settings.limits.max_attempts == 5 and config.max_descriptors == 1024
 
 
 @pytest.mark.parametrize(
