--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -9,9 +9,8 @@
 from indigokeel.balancing.traffic_statistics import TrafficStatistics
 
 FAILURE_LATENCY_RATIO = 3.0  # a failure is recorded as this multiple of the expected latency
-HANG_LATENCY_RATIO = (
-    5.0  # a timeout after more than this multiple of the expected latency counts as two failures
-)
+# A timeout after more than this multiple of the expected latency counts as two failures.
+HANG_LATENCY_RATIO = 5.0
 
 
 class AttemptResults:
--- a/indigokeel/balancing/class_statistics.py
+++ b/indigokeel/balancing/class_statistics.py
@@ -26,9 +26,8 @@
         self.early_rejection_ratio = 0.0  # rejected before any work is done while the sidecar is overloaded
         self.usual_latency_s = settings.latency_objective * INITIAL_LATENCY_RATIO
         self.usual_hint_s = 0.0
-        self.consecutive_rejections = (
-            0  # consecutive requests without an upstream of enough capacity; reset by an attempt
-        )
+        # Consecutive requests without an upstream of enough capacity; reset by an attempt.
+        self.consecutive_rejections = 0
 
     def record_response(self, latency_s: float, hint_s: float) -> None:
         """Record the latency of a response and the work estimate of its request (0: none)."""
--- a/indigokeel/config/loader.py
+++ b/indigokeel/config/loader.py
@@ -35,9 +35,8 @@
     admin_address: Address | None = None  # the address for operators; None: no admin server
     listen_fd: int = -1  # a listening socket inherited from the platform; -1: none
     state_dir: str = ""  # folder for the state files of this sidecar; "": no state is stored
-    file_content: Mapping[str, Any] = field(
-        default_factory=dict
-    )  # content of the file, without that of ``known``
+    # Content of the file, without that of ``known``.
+    file_content: Mapping[str, Any] = field(default_factory=dict)
 
 
 def load_config(env: Mapping[str, str]) -> Config:
--- a/indigokeel/config/settings_decoder.py
+++ b/indigokeel/config/settings_decoder.py
@@ -25,10 +25,8 @@
     "probe": LoadReportSource.HEALTH_CHECKS,
     "none": LoadReportSource.NONE,
 }
-_CAPACITY_WEIGHTS = (
-    "nominal",
-    "rough",
-)  # values of ``weights`` with which the weight of an upstream is its capacity
+# Values of ``weights`` with which the weight of an upstream is its capacity.
+_CAPACITY_WEIGHTS = ("nominal", "rough")
 
 
 def decode_settings(data: Any) -> Settings:
--- a/indigokeel/net/upstream/waiter_queue.py
+++ b/indigokeel/net/upstream/waiter_queue.py
@@ -13,9 +13,8 @@
 class ConnectFailure(Enum):
     """The reason why a wait ended without a connection."""
 
-    UPSTREAM = (
-        "upstream"  # connects failed, were rejected by the circuit breaker, or did not complete in time
-    )
+    # Connects failed, were rejected by the circuit breaker, or did not complete in time.
+    UPSTREAM = "upstream"
     LOCAL = "local"  # connects were suspended by a local error during a part of the wait
 
 
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -248,9 +248,8 @@
     harness.acquire("up")
     assert harness.pool.waiter_count() == 1
     harness.until(lambda: bool(harness.ready))
-    assert (
-        isinstance(harness.ready[-1], UpstreamConnection) and available[0] == 1
-    )  # at the eleventh try, and none is made after it
+    # The connect succeeds at the eleventh try, and none is made after it.
+    assert isinstance(harness.ready[-1], UpstreamConnection) and available[0] == 1
     assert ("error" in {level for level, _ in harness.logged}) and harness.pool.waiter_count() == 0
     available[0] = -1000
     harness.acquire("up", 0.01)
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -60,9 +60,8 @@
         coordinator.update_endpoints(NOW + 1.0, update)
         assert coordinator.address("s-1") is None
     assert _upstreams_used(coordinator, NOW + 1.0) == {"s-0", "s-2"}
-    assert (
-        coordinator.uncordon(NOW + 2.0, "s-1") is not None
-    )  # one call lifts the cordon, however many calls set it
+    # One call lifts the cordon, however many calls set it.
+    assert coordinator.uncordon(NOW + 2.0, "s-1") is not None
     assert coordinator.address("s-1") == ("127.0.0.1", 2000)
     assert _upstreams_used(coordinator, NOW + 2.0) == {"s-0", "s-1", "s-2"}
 
@@ -278,10 +277,8 @@
 
 
 def test_next_process_starts_from_the_learned_state() -> None:
-    old, new = (
-        _coordinator(),
-        RequestCoordinator(make_settings(), 2, 500.0),
-    )  # the wall clock was set between the two starts
+    # The wall clock was set between the two starts.
+    old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 500.0)
     _serve_mixed_load(old)
     now = NOW + 3.0
     new.update_endpoints(now, EndpointList(1, True, ENDPOINTS), cached=True)
--- a/tests/test_descriptor_audit.py
+++ b/tests/test_descriptor_audit.py
@@ -50,9 +50,8 @@
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     connections = [harness.connection() for _ in range(3)]
-    monkeypatch.setattr(
-        "indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path)
-    )  # an empty list
+    # An empty list.
+    monkeypatch.setattr("indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path))
     assert harness.run(harness.audit.run_audit) == []
     assert [connection.state for connection in connections] == [ConnectionState.IN_USE] * 3 and len(
         harness.pool.table
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -182,12 +182,10 @@
     fleet.add_traffic(rates, 1015.0)
     fleet.run(1016.0)
     quiet = [len(used) for used in fleet.upstreams_used[:-1]]
-    assert (
-        max(quiet) <= 20 and len(fleet.upstreams_used[-1]) == UPSTREAMS
-    )  # the busy sidecar uses all upstreams
-    assert (
-        len({upstream for used in fleet.upstreams_used[:-1] for upstream in used}) == UPSTREAMS
-    )  # the subsets differ
+    # The busy sidecar uses all upstreams.
+    assert max(quiet) <= 20 and len(fleet.upstreams_used[-1]) == UPSTREAMS
+    # The subsets differ.
+    assert len({upstream for used in fleet.upstreams_used[:-1] for upstream in used}) == UPSTREAMS
 
 
 def test_every_sidecar_uses_all_upstreams_of_a_small_fleet() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -24,12 +24,10 @@
 from tests import peers
 from tests.peers import entry, ok, parse_endpoint_list, request, running, until
 
-NOTIFIED_AFTER_S = (
-    6.0  # seconds after which the sidecar counts as notified of a change that a silent watch missed
-)
-MIN_TIME_FOR_CALL_S = (
-    2.5  # seconds of these that the next call needs at least: it may wait in a queue and be rejected once
-)
+# Seconds after which the sidecar counts as notified of a change that a silent watch missed.
+NOTIFIED_AFTER_S = 6.0
+# Seconds of these that the next call needs at least: it may wait in a queue and be rejected once.
+MIN_TIME_FOR_CALL_S = 2.5
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 EMPTY_LIST = b'{"index":1,"snapshot":true,"endpoints":[]}\n'
 
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -248,9 +248,8 @@
                 total += work
                 while inside[0][0] < when - safety.overload_window:
                     total -= inside.popleft()[1]
-                first = max(
-                    age - safety.overload_window, 0.0
-                )  # the age at which the window begins, with the lowest allowance
+                # The age at which the window begins, with the lowest allowance.
+                first = max(age - safety.overload_window, 0.0)
                 ratio = (
                     safety.warm_up_initial_ratio
                     + (1.0 - safety.warm_up_initial_ratio) * first / safety.warm_up_time
