--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,9 +59,11 @@
         self.balancer = Balancer(settings, seed)
         self.now = 1000.0
         self.number = 0
-        self.first = self.news(members, UpdateKind.CACHED)
+        self.initial_actions = self.update_members(members, UpdateKind.CACHED)
 
-    def news(self, members: tuple[Member, ...], kind: UpdateKind = UpdateKind.DELTA) -> list[Action]:
+    def update_members(
+        self, members: tuple[Member, ...], kind: UpdateKind = UpdateKind.DELTA
+    ) -> list[Action]:
         return self.balancer.handle(self.now, MembershipUpdate(kind, members))
 
     def request(self, class_name: str = "view", budget: float = 1.5, **more: Any) -> tuple[str, list[Action]]:
@@ -95,7 +97,7 @@
             self.now += 0.2
             _, actions = self.request(**more)
             attempt = 0
-            while found := sends(actions):
+            while found := sent_attempts(actions):
                 send = found[0]
                 if attempt == 0:
                     first_attempts[send.upstream] = first_attempts.get(send.upstream, 0) + 1
@@ -105,11 +107,11 @@
         return first_attempts
 
 
-def sends(actions: list[Action]) -> list[SendAttempt]:
+def sent_attempts(actions: list[Action]) -> list[SendAttempt]:
     return [action for action in actions if isinstance(action, SendAttempt)]
 
 
-def of(actions: list[Action], kind: type) -> list[Any]:
+def actions_of_type(actions: list[Action], kind: type) -> list[Any]:
     return [action for action in actions if isinstance(action, kind)]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Attempt, Effects, FinalStatus, Request
-from tests.conftest import KEYED, UNSAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import KEYED, UNSAFE, Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 SIDECARS, UPSTREAMS, UPSTREAM_RATE = 40, 60, 30.0  # UPSTREAM_RATE: requests/s of a warm upstream
 SAFETY = Safety(warm_up_initial_ratio=0.35, warm_up_time=8.8, overload_multiple=3.0, overload_window=1.5)
@@ -261,12 +261,12 @@
         for _ in range(200):
             driver.now += 0.05
             _, actions = driver.request("pay")
-            for send in sends(actions):
+            for send in sent_attempts(actions):
                 how = AttemptOutcome.ERROR if send.upstream in failing else AttemptOutcome.OK
                 ended = driver.end(send, how)
                 if how is AttemptOutcome.ERROR:
                     failures[send.upstream] += 1
-                for log in of(ended, LogMessage):
+                for log in actions_of_type(ended, LogMessage):
                     if (
                         log.text == f"ejected {send.upstream}: consecutive failures"
                         and send.upstream in failing
@@ -286,7 +286,9 @@
     for _ in range(3000):
         driver.now += 0.05
         _, actions = driver.request("pay")
-        for send in sends(actions):
+        for send in sent_attempts(actions):
             how = AttemptOutcome.ERROR if random.random() < 0.15 else AttemptOutcome.OK
-            ejections += sum(log.text.startswith("ejected") for log in of(driver.end(send, how), LogMessage))
+            ejections += sum(
+                log.text.startswith("ejected") for log in actions_of_type(driver.end(send, how), LogMessage)
+            )
     assert ejections <= 10
--- a/tests/unit/balancing/test_early_admission.py
+++ b/tests/unit/balancing/test_early_admission.py
@@ -6,7 +6,7 @@
     LagSampled,
 )
 from indigokeel.balancing.settings import Limits
-from tests.conftest import Driver, make_members, make_settings, sends
+from tests.conftest import Driver, make_members, make_settings, sent_attempts
 
 
 def sample_lag(driver: Driver, lag: float, count: int) -> None:
@@ -22,7 +22,7 @@
         if driver.balancer.shed_early(driver.now, class_name, budget) is None:
             admitted += 1
             _, actions = driver.request(class_name)
-            for send in sends(actions):
+            for send in sent_attempts(actions):
                 driver.end(send)
     return admitted / 500
 
--- a/tests/unit/balancing/test_endpoint_refresh.py
+++ b/tests/unit/balancing/test_endpoint_refresh.py
@@ -13,7 +13,7 @@
     UpdateKind,
 )
 from indigokeel.balancing.settings import Safety
-from tests.conftest import Driver, make_members, make_settings, of, sends
+from tests.conftest import Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 
 @pytest.mark.parametrize("poll_within", [10.0, 3.0, 1.5])
@@ -22,15 +22,15 @@
     driver = Driver(
         make_settings(polls_membership=True, safety=Safety(poll_within=poll_within)), make_members(3)
     )
-    assert of(driver.first, WatchEndpoints)
+    assert actions_of_type(driver.initial_actions, WatchEndpoints)
     delays = []
     for _ in range(6):
-        timer = of(driver.news((), UpdateKind.FAILED), SetTimer)[0]
+        timer = actions_of_type(driver.update_members((), UpdateKind.FAILED), SetTimer)[0]
         delays.append(timer.delay)
         driver.now += timer.delay
-        assert of(driver.balancer.handle(driver.now, TimerFired(timer.token)), WatchEndpoints)
+        assert actions_of_type(driver.balancer.handle(driver.now, TimerFired(timer.token)), WatchEndpoints)
     assert max(delays) <= 0.4 * poll_within and delays[-1] > delays[0]
-    assert sends(driver.request()[1]), "the known endpoint list must stay in use"
+    assert sent_attempts(driver.request()[1]), "the known endpoint list must stay in use"
 
 
 def test_discovery_is_called_again_at_once_after_a_successful_watch() -> None:
@@ -38,6 +38,9 @@
     for seed in range(20):
         driver = Driver(make_settings(polls_membership=True), make_members(3), seed)
         for _ in range(2):
-            driver.news(make_members(3))
-            delays = [of(driver.news((), UpdateKind.FAILED), SetTimer)[0].delay for _ in range(3)]
+            driver.update_members(make_members(3))
+            delays = [
+                actions_of_type(driver.update_members((), UpdateKind.FAILED), SetTimer)[0].delay
+                for _ in range(3)
+            ]
             assert delays[0] <= 0.1 < 0.25 <= delays[1] <= 0.5 <= delays[2] <= 1.0
--- a/tests/unit/balancing/test_idle_connections.py
+++ b/tests/unit/balancing/test_idle_connections.py
@@ -8,7 +8,7 @@
     CloseIdleConnections,
 )
 from indigokeel.balancing.settings import Prices
-from tests.conftest import Driver, make_members, make_settings, of, sends
+from tests.conftest import Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 
 @pytest.mark.parametrize(("price", "min_closed"), [(0.1, 5), (0.0, 0)])
@@ -16,6 +16,6 @@
     driver = Driver(make_settings(prices=Prices(connection=price)), make_members(6))
     names = set()
     for _ in range(60):
-        send = sends(driver.request()[1])[0]
-        names |= {action.upstream for action in of(driver.end(send), CloseIdleConnections)}
+        send = sent_attempts(driver.request()[1])[0]
+        names |= {action.upstream for action in actions_of_type(driver.end(send), CloseIdleConnections)}
     assert len(names) >= min_closed and (min_closed > 0 or not names)
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -13,7 +13,7 @@
     AttemptOutcome,
 )
 from indigokeel.balancing.settings import TenantSettings
-from tests.conftest import Driver, make_members, make_settings, of, sends
+from tests.conftest import Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 
 @pytest.mark.parametrize("failure", [AttemptOutcome.TIMED_OUT, AttemptOutcome.BROKEN])
@@ -25,8 +25,8 @@
         driver.now += 0.05
         name = "pay" if number % 2 else "view"
         _, actions = driver.request(name)
-        rejected[name] += not sends(actions)
-        for send in sends(actions):
+        rejected[name] += not sent_attempts(actions)
+        for send in sent_attempts(actions):
             driver.now += 0.01
             driver.end(send, AttemptOutcome.OK if number % 10 < 6 else failure, elapsed=0.5)
     if failure is AttemptOutcome.TIMED_OUT:
@@ -48,8 +48,8 @@
         tenant = "quiet" if i % 10 == 0 else "loud"  # 5 and 45 requests per second
         _, actions = driver.request(tenant=tenant)
         arrived[tenant] += i > 300
-        rejected[tenant] += i > 300 and bool(of(actions, RejectRequest))
-        for send in sends(actions):
+        rejected[tenant] += i > 300 and bool(actions_of_type(actions, RejectRequest))
+        for send in sent_attempts(actions):
             # Responses are late while more requests are admitted than the fleet can serve: 25 per second.
             late = len(sent) == 25 and sent[0] > driver.now - 1.0
             sent.append(driver.now)
@@ -63,5 +63,5 @@
     for _ in range(200):
         driver.now += 0.05
         _, actions = driver.request()
-        assert sends(actions)
-        driver.end(sends(actions)[0])
+        assert sent_attempts(actions)
+        driver.end(sent_attempts(actions)[0])
--- a/tests/unit/balancing/test_outlier_ejection.py
+++ b/tests/unit/balancing/test_outlier_ejection.py
@@ -12,7 +12,7 @@
     AttemptOutcome,
 )
 from indigokeel.balancing.outlier_ejection import MAX_EJECTION_S
-from tests.conftest import Driver, make_members, of, sends
+from tests.conftest import Driver, actions_of_type, make_members, sent_attempts
 
 
 def test_failing_upstream_is_ejected_and_returns(driver: Driver) -> None:
@@ -30,7 +30,7 @@
     driver.serve(100)
     for _ in range(60):
         _, actions = driver.request("pay")
-        logs = of(driver.end(sends(actions)[0], AttemptOutcome.BROKEN), LogMessage)
+        logs = actions_of_type(driver.end(sent_attempts(actions)[0], AttemptOutcome.BROKEN), LogMessage)
         assert not [log for log in logs if log.text.startswith("ejected")]
         driver.serve(30)
 
@@ -44,14 +44,14 @@
     bad = make_members(6)[0].id
     logs = []
     for _ in range(200):
-        timed_out, other = sends(driver.request()[1])[0], sends(driver.request()[1])[0]
+        timed_out, other = sent_attempts(driver.request()[1])[0], sent_attempts(driver.request()[1])[0]
         driver.now += 0.5
         if served_since or other.upstream != bad:
             driver.end(other)
         outcome = AttemptOutcome.TIMED_OUT if timed_out.upstream == bad else AttemptOutcome.OK
         served_other = served_since and other.upstream == bad
         if outcome is AttemptOutcome.OK or served_other or not served_since:
-            logs += of(driver.end(timed_out, outcome, elapsed=0.5), LogMessage)
+            logs += actions_of_type(driver.end(timed_out, outcome, elapsed=0.5), LogMessage)
     assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is ejected
 
 
@@ -68,7 +68,7 @@
     pending: list[SendAttempt] = []
     driver.now += 0.01
     while len(pending) < 12:  # sent while the upstream is silent
-        send = sends(driver.request()[1])[0]
+        send = sent_attempts(driver.request()[1])[0]
         if send.upstream == bad:
             pending.append(send)
         else:
@@ -76,12 +76,14 @@
     last, logs = pending.pop(), list[str]()
     driver.now += 0.5
     while pending and f"ejected {bad}: consecutive failures" not in logs:
-        logs += [log.text for log in of(driver.end(pending.pop(), outcome, elapsed=0.5), LogMessage)]
+        logs += [
+            log.text for log in actions_of_type(driver.end(pending.pop(), outcome, elapsed=0.5), LogMessage)
+        ]
     assert f"ejected {bad}: consecutive failures" in logs
-    logs += [log.text for log in of(driver.end(last, elapsed=0.6), LogMessage)]
+    logs += [log.text for log in actions_of_type(driver.end(last, elapsed=0.6), LogMessage)]
     assert (f"ejection of {bad} ended: it responds again" in logs) is ends
     driver.now += 0.01
-    selected = {sends(driver.request()[1])[0].upstream for _ in range(60)}
+    selected = {sent_attempts(driver.request()[1])[0].upstream for _ in range(60)}
     assert (bad in selected) is ends
 
 
@@ -89,4 +91,4 @@
     all_bad = {m.id: AttemptOutcome.ERROR for m in make_members(6)}
     assert len(driver.serve(200, all_bad)) >= 3
     driver.now += 60.0
-    assert sends(driver.request()[1])
+    assert sent_attempts(driver.request()[1])
--- a/tests/unit/balancing/test_request_registry.py
+++ b/tests/unit/balancing/test_request_registry.py
@@ -22,18 +22,27 @@
     TimerFired,
 )
 from indigokeel.balancing.settings import ClassSettings, Limits
-from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import (
+    KEYED,
+    SAFE,
+    UNSAFE,
+    Driver,
+    actions_of_type,
+    make_members,
+    make_settings,
+    sent_attempts,
+)
 
 
 @pytest.mark.parametrize("cancellation", [True, False])
 def test_open_attempts_of_a_finished_request_are_cancelled_once(cancellation: bool) -> None:
     driver = Driver(make_settings(limits=Limits(cancellation=cancellation)), make_members(2))
     name, actions = driver.request()
-    (send,) = sends(actions)
+    (send,) = sent_attempts(actions)
     expected = [CancelAttempt(name, 0)] if cancellation else []
     assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == expected
     assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == []
-    assert of(driver.end(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
+    assert actions_of_type(driver.end(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
 
 
 @pytest.mark.parametrize(
@@ -47,9 +56,9 @@
     classes = (replace(settings, late_weight=late_weight),)
     driver = Driver(make_settings(classes=classes, limits=Limits(max_attempts=1)), make_members(2))
     name, actions = driver.request(settings.name, budget=1.5)
-    assert sends(actions)[0].timeout == timeout
+    assert sent_attempts(actions)[0].timeout == timeout
     driver.now += timeout or 1.5
-    (final_answer,) = driver.end(sends(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5)
+    (final_answer,) = driver.end(sent_attempts(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5)
     assert final_answer == (RejectRequest(name) if settings is SAFE else FailRequest(name))
 
 
@@ -59,11 +68,11 @@
 
     def serve(elapsed: float) -> tuple[list[Any], float]:
         _, actions = driver.request("pay", budget=1.5)
-        logged = of(actions, LogMessage)
+        logged = actions_of_type(actions, LogMessage)
         driver.now += 0.5
-        for timer in of(actions, SetTimer) if elapsed > 0.5 else []:
+        for timer in actions_of_type(actions, SetTimer) if elapsed > 0.5 else []:
             driver.balancer.handle(driver.now, TimerFired(timer.token))
-        found = sends(actions)
+        found = sent_attempts(actions)
         for send in found:
             late = elapsed > 0.5
             outcome = AttemptOutcome.TIMED_OUT if late and send.timeout else AttemptOutcome.OK
@@ -83,10 +92,10 @@
 def test_attempt_that_misses_its_objective_is_recorded_as_late_once(outcome: AttemptOutcome) -> None:
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(2))
     _, actions = driver.request("pay", budget=1.5)
-    (send,) = sends(actions)
+    (send,) = sent_attempts(actions)
     upstream = driver.balancer.learned_statistics().upstreams[send.upstream]
     driver.now += 0.5
-    for timer in of(actions, SetTimer):
+    for timer in actions_of_type(actions, SetTimer):
         driver.balancer.handle(driver.now, TimerFired(timer.token))
     latency = upstream.relative_latency(driver.now)
     assert driver.balancer._traffic.late_count(driver.now) == 1.0 and latency > 1.0
@@ -100,10 +109,10 @@
 def test_unsafe_request_with_a_started_stream_is_not_late_at_its_objective() -> None:
     driver = Driver(make_settings(classes=(UNSAFE,)), make_members(2))
     _, actions = driver.request("pay", budget=1.5)
-    (send,) = sends(actions)
+    (send,) = sent_attempts(actions)
     driver.balancer.handle(driver.now, ResponseStarted(send.id, send.upstream, 0))
     driver.now += 0.5
-    for timer in of(actions, SetTimer):
+    for timer in actions_of_type(actions, SetTimer):
         driver.balancer.handle(driver.now, TimerFired(timer.token))
     assert driver.balancer._traffic.late_count(driver.now) == 0.0
 
@@ -111,19 +120,21 @@
 def test_request_without_upstreams_waits_and_is_rejected_in_time() -> None:
     driver = Driver(make_settings(), ())
     name, actions = driver.request(budget=0.5)
-    timer = of(actions, SetTimer)[0]
-    assert not sends(actions) and timer.delay < 0.25  # answered while its client can still try elsewhere
-    assert [s.id for s in sends(driver.news(make_members(2)))] == [name]
+    timer = actions_of_type(actions, SetTimer)[0]
+    assert (
+        not sent_attempts(actions) and timer.delay < 0.25
+    )  # answered while its client can still try elsewhere
+    assert [s.id for s in sent_attempts(driver.update_members(make_members(2)))] == [name]
     driver = Driver(make_settings(), ())
     name, actions = driver.request("pay", budget=0.5)
     driver.now += timer.delay
-    after_wait = driver.balancer.handle(driver.now, TimerFired(of(actions, SetTimer)[0].token))
-    assert [r.id for r in of(after_wait, RejectRequest)] == [name]
+    after_wait = driver.balancer.handle(driver.now, TimerFired(actions_of_type(actions, SetTimer)[0].token))
+    assert [r.id for r in actions_of_type(after_wait, RejectRequest)] == [name]
 
 
 def test_outcomes_of_ended_and_unknown_requests_are_ignored(driver: Driver) -> None:
     _, actions = driver.request()
-    send = sends(actions)[0]
+    send = sent_attempts(actions)[0]
     driver.balancer.handle(driver.now, ClientDisconnected(send.id))
     assert not driver.end(send, AttemptOutcome.TIMED_OUT)
     assert not driver.end(SendAttempt("nobody", send.upstream), AttemptOutcome.OK)
--- a/tests/unit/balancing/test_retry_policy.py
+++ b/tests/unit/balancing/test_retry_policy.py
@@ -15,22 +15,26 @@
     TimerFired,
 )
 from indigokeel.balancing.settings import Limits
-from tests.conftest import KEYED, SAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import KEYED, SAFE, Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 
 def test_rejected_attempt_is_retried_elsewhere(driver: Driver) -> None:
     driver.serve(20)
     _, actions = driver.request("pay")
-    first = sends(actions)[0]
-    second = sends(driver.end(first, AttemptOutcome.REJECTED))[0]
+    first = sent_attempts(actions)[0]
+    second = sent_attempts(driver.end(first, AttemptOutcome.REJECTED))[0]
     assert second.upstream != first.upstream
 
 
 def test_unsafe_request_that_may_have_run_fails(driver: Driver) -> None:
     driver.serve(20)
     _, actions = driver.request("pay")
-    after = driver.end(sends(actions)[0], AttemptOutcome.BROKEN)
-    assert of(after, FailRequest) and not sends(after) and not of(after, RejectRequest)
+    after = driver.end(sent_attempts(actions)[0], AttemptOutcome.BROKEN)
+    assert (
+        actions_of_type(after, FailRequest)
+        and not sent_attempts(after)
+        and not actions_of_type(after, RejectRequest)
+    )
 
 
 def test_keyed_repeat_stays_in_its_replica_group(driver: Driver) -> None:
@@ -39,8 +43,8 @@
     for _ in range(20):
         driver.serve(5)
         _, actions = driver.request("order")
-        first = sends(actions)[0]
-        for second in sends(driver.end(first, AttemptOutcome.BROKEN)):
+        first = sent_attempts(actions)[0]
+        for second in sent_attempts(driver.end(first, AttemptOutcome.BROKEN)):
             assert replica_groups[second.upstream] == replica_groups[first.upstream]
 
 
@@ -50,7 +54,7 @@
     for _ in range(100):
         _, actions = driver.request()
         attempt = 0
-        while found := sends(actions):
+        while found := sent_attempts(actions):
             actions = driver.end(found[0], AttemptOutcome.REJECTED, attempt)
             retries += attempt > 0
             attempt += 1
@@ -60,10 +64,10 @@
 def test_overdue_attempt_is_hedged(driver: Driver) -> None:
     driver.serve(20)
     name, actions = driver.request()
-    timer = of(actions, SetTimer)[0]
+    timer = actions_of_type(actions, SetTimer)[0]
     driver.now += timer.delay
-    hedged = sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
-    assert [h.id for h in hedged] == [name] and hedged[0].upstream != sends(actions)[0].upstream
+    hedged = sent_attempts(driver.balancer.handle(driver.now, TimerFired(timer.token)))
+    assert [h.id for h in hedged] == [name] and hedged[0].upstream != sent_attempts(actions)[0].upstream
 
 
 def test_overdue_attempt_times_out_and_is_retried_where_hedging_is_disabled() -> None:
@@ -71,10 +75,10 @@
     driver = Driver(make_settings(limits=limits), make_members(6))
     driver.serve(20)
     _, actions = driver.request()
-    first = sends(actions)[0]
+    first = sent_attempts(actions)[0]
     assert 0.0 < first.timeout < 0.5
     driver.now += first.timeout
-    retried = sends(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
+    retried = sent_attempts(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
     assert retried and retried[0].upstream != first.upstream
 
 
@@ -83,8 +87,8 @@
     driver = Driver(make_settings(), (make_members(6)[0], *warming))
     for _ in range(30):
         _, actions = driver.request()
-        for send in sends(actions):
-            for retried in sends(driver.end(send, AttemptOutcome.REJECTED)):
+        for send in sent_attempts(actions):
+            for retried in sent_attempts(driver.end(send, AttemptOutcome.REJECTED)):
                 assert retried.upstream == make_members(6)[0].id
 
 
@@ -93,7 +97,7 @@
     driver = Driver(make_settings(classes=(stream, KEYED)), make_members(6))
     driver.serve(10)
     name, actions = driver.request()
-    send, timer = sends(actions)[0], of(actions, SetTimer)[0]
+    send, timer = sent_attempts(actions)[0], actions_of_type(actions, SetTimer)[0]
     driver.balancer.handle(driver.now, ResponseStarted(name, send.upstream, 0))
     driver.now += timer.delay
-    assert not sends(driver.balancer.handle(driver.now, TimerFired(timer.token)))
+    assert not sent_attempts(driver.balancer.handle(driver.now, TimerFired(timer.token)))
--- a/tests/unit/balancing/test_selection_index.py
+++ b/tests/unit/balancing/test_selection_index.py
@@ -15,7 +15,7 @@
 from indigokeel.balancing.statistics import ShrinkageEstimate
 from indigokeel.balancing.upstream_state import UpstreamState
 from indigokeel.balancing.weighted_selection import BUSY_UTILISATION
-from tests.conftest import Driver, make_members, make_settings, sends
+from tests.conftest import Driver, make_members, make_settings, sent_attempts
 from tests.support.balancing import load
 
 
@@ -27,13 +27,13 @@
     for step in range(6000):
         driver.now += random.choice((0.0, 0.001, 0.02))
         _, actions = driver.request()
-        send = sends(actions)[0]
+        send = sent_attempts(actions)[0]
         if random.random() < 0.9:
             driver.end(send, elapsed=0.1, load=load(random.uniform(0, 50), random.uniform(0.1, 1.05)))
         if step % 500 == 0:
             gone = replace(make_members(60)[random.randrange(60)], state=EndpointState.GONE)
-            driver.news((gone,))
-            driver.news(make_members(60))
+            driver.update_members((gone,))
+            driver.update_members(make_members(60))
         index.refresh(driver.now)
         for partition in (index.available, index.busy):
             assert partition.open_attempts == sum(u.open_attempts for u in partition.members)
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -32,7 +32,16 @@
     UpdateKind,
 )
 from indigokeel.balancing.settings import Limits, LoadReportSource, Safety
-from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import (
+    KEYED,
+    SAFE,
+    UNSAFE,
+    Driver,
+    actions_of_type,
+    make_members,
+    make_settings,
+    sent_attempts,
+)
 
 BEGIN = 1000.0  # clock time at which the fleet begins
 STARTED = 1003.0  # clock time at which upstreams start cold; every sidecar is notified at once
@@ -324,7 +333,9 @@
     )
     cold = replace(make_members(6)[0], started=1000.0)
     driver = Driver(settings, (cold, *make_members(6)[1:]))
-    checked = [check.upstream for _ in range(40) for check in of(driver.request()[1], SendHealthCheck)]
+    checked = [
+        check.upstream for _ in range(40) for check in actions_of_type(driver.request()[1], SendHealthCheck)
+    ]
     assert checked and cold.id not in checked
 
 
@@ -336,4 +347,4 @@
         assert first == second
         for driver in drivers:
             driver.now += 0.02
-            driver.end(sends(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
+            driver.end(sent_attempts(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
--- a/tests/unit/balancing/test_subsetting.py
+++ b/tests/unit/balancing/test_subsetting.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.conftest import Driver, make_members, make_settings, sends
+from tests.conftest import Driver, make_members, make_settings, sent_attempts
 
 
 def test_zones_are_used_in_proportion_to_their_size() -> None:
@@ -39,7 +39,7 @@
                 sidecar,
             )
             _, actions = driver.request(key=key)
-            targets.add(sends(actions)[0].upstream)
+            targets.add(sent_attempts(actions)[0].upstream)
         assert len(targets) <= max_targets
 
 
--- a/tests/unit/balancing/test_upstream_registry.py
+++ b/tests/unit/balancing/test_upstream_registry.py
@@ -13,12 +13,12 @@
 
 def test_draining_upstream_gets_no_request(driver: Driver) -> None:
     member = make_members(6)[0]
-    driver.news((replace(member, state=EndpointState.DRAINING),))
+    driver.update_members((replace(member, state=EndpointState.DRAINING),))
     assert member.id not in driver.serve(100)
-    driver.news((replace(member, state=EndpointState.GONE),))
+    driver.update_members((replace(member, state=EndpointState.GONE),))
     assert member.id not in driver.serve(100)
 
 
 def test_upstream_missing_from_a_full_list_is_removed(driver: Driver) -> None:
-    driver.news(make_members(6)[1:], UpdateKind.FULL)
+    driver.update_members(make_members(6)[1:], UpdateKind.FULL)
     assert make_members(6)[0].id not in driver.serve(100)
--- a/tests/unit/balancing/test_upstream_selection.py
+++ b/tests/unit/balancing/test_upstream_selection.py
@@ -9,62 +9,69 @@
 from indigokeel.balancing.events import (
     AttemptOutcome,
 )
-from tests.conftest import Driver, of, sends
-from tests.support.balancing import PROBED, in_flight, named
+from tests.conftest import Driver, actions_of_type, sent_attempts
+from tests.support.balancing import HEALTH_CHECK_SETTINGS, make_named_members, report_in_flight
 
 
 def test_upstream_without_capacity_gets_no_request() -> None:
     """At a latency objective of 0.5 s and an initial usual latency of 0.125 s, two requests may be in flight
     at an upstream, whichever sidecar sent them."""
     for seed in range(20):
-        driver = Driver(PROBED, named("a", "b", "c"), seed)
-        in_flight(driver, a=9, b=9, c=1)
+        driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a", "b", "c"), seed)
+        report_in_flight(driver, a=9, b=9, c=1)
         _, actions = driver.request()
-        (send,) = sends(actions)
+        (send,) = sent_attempts(actions)
         assert send.upstream == "c"
         _, actions = driver.request()  # the open attempt makes two requests in flight at "c"
-        assert not sends(actions) and [type(action) for action in actions if of([action], RejectRequest)]
+        assert not sent_attempts(actions) and [
+            type(action) for action in actions if actions_of_type([action], RejectRequest)
+        ]
         # No further attempt is sent while no upstream has capacity.
-        assert not sends(driver.end(send, AttemptOutcome.ERROR))
-        in_flight(driver, a=0, b=9, c=9)
+        assert not sent_attempts(driver.end(send, AttemptOutcome.ERROR))
+        report_in_flight(driver, a=0, b=9, c=9)
         assert driver.serve(1) == {"a": 1}
 
 
 def test_request_without_capacity_is_rejected_at_once() -> None:
-    driver = Driver(PROBED, named("a", "b"))
-    in_flight(driver, a=9, b=9)
+    driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a", "b"))
+    report_in_flight(driver, a=9, b=9)
     name, actions = driver.request()
-    assert [action.id for action in of(actions, RejectRequest)] == [name] and not of(actions, SetTimer)
+    assert [action.id for action in actions_of_type(actions, RejectRequest)] == [
+        name
+    ] and not actions_of_type(actions, SetTimer)
 
 
 def test_attempts_that_have_not_arrived_do_not_count_as_in_flight() -> None:
     """While long request bodies are being sent, their upstream has no requests in flight yet."""
-    driver = Driver(PROBED, named("a"))
+    driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a"))
     for _ in range(5):
-        assert sends(driver.request()[1])
-    in_flight(driver, a=0)
-    assert [bool(sends(driver.request()[1])) for _ in range(4)] == [True, True, False, False]
+        assert sent_attempts(driver.request()[1])
+    report_in_flight(driver, a=0)
+    assert [bool(sent_attempts(driver.request()[1])) for _ in range(4)] == [True, True, False, False]
 
 
 def test_old_reports_of_requests_in_flight_are_ignored() -> None:
-    driver = Driver(PROBED, named("a"))
-    in_flight(driver, a=9)
-    assert not sends(driver.request()[1])
+    driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a"))
+    report_in_flight(driver, a=9)
+    assert not sent_attempts(driver.request()[1])
     driver.now += 3.01
-    assert sends(driver.request()[1])
+    assert sent_attempts(driver.request()[1])
 
 
 def test_warming_upstream_does_not_get_the_requests_of_full_ones() -> None:
     """While the warm upstreams are full, the one that is warming up gets its own small share and none of
     theirs."""
-    driver = Driver(PROBED, (*named("a", "b", "c"), *named("cold", started=1000.0)))
+    driver = Driver(
+        HEALTH_CHECK_SETTINGS,
+        (*make_named_members("a", "b", "c"), *make_named_members("cold", started=1000.0)),
+    )
     cold_counts: dict[bool, int] = {}
     for full in (False, True):
         cold_counts[full] = 0
         for _ in range(600):
-            in_flight(driver, a=9.0 * full, b=9.0 * full, c=9.0 * full, cold=0)
+            report_in_flight(driver, a=9.0 * full, b=9.0 * full, c=9.0 * full, cold=0)
             _, actions = driver.request()
-            for send in sends(actions):
+            for send in sent_attempts(actions):
                 cold_counts[full] += send.upstream == "cold"
                 driver.end(send)
     assert 0 < cold_counts[True] < 1.5 * cold_counts[False] < 200
@@ -73,13 +80,13 @@
 def test_class_rejected_for_its_learned_latency_learns_the_current_one() -> None:
     """Guards against rejecting a class forever: the upstreams respond quickly by now, but the learned latency
     is still high, and without any attempt it would never be corrected."""
-    driver = Driver(PROBED, named("a", "b"))
+    driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a", "b"))
     driver.balancer.learned_statistics().classes["view"].usual_latency_s = 10.0
     served = []
     for _ in range(4000):
-        in_flight(driver, a=3, b=3)
+        report_in_flight(driver, a=3, b=3)
         _, actions = driver.request()
-        found = sends(actions)
+        found = sent_attempts(actions)
         served.append(bool(found))
         driver.now += 0.05
         for send in found:
@@ -89,11 +96,11 @@
 
 
 def test_most_requests_are_rejected_while_no_upstream_has_capacity() -> None:
-    driver = Driver(PROBED, named("a", "b"))
+    driver = Driver(HEALTH_CHECK_SETTINGS, make_named_members("a", "b"))
     sent = 0
     for _ in range(1000):
-        in_flight(driver, a=9, b=9)
-        found = sends(driver.request()[1])
+        report_in_flight(driver, a=9, b=9)
+        found = sent_attempts(driver.request()[1])
         sent += len(found)
         driver.now += 0.2
         for send in found:
