--- a/benchmarks/cancels.py
+++ b/benchmarks/cancels.py
@@ -28,7 +28,7 @@
     Telemetry,
     UpstreamConnection,
 )
-from indigokeel.net.upstream.descriptor_audit import sockets
+from indigokeel.net.upstream.descriptor_audit import list_open_sockets
 
 _MAX_HELD = 40  # connections and waiters at the same time
 _OPENS_PER_AUDIT = 5000
@@ -89,22 +89,22 @@
         Telemetry(count, lambda *_: None, time.monotonic),
         PoolOptions(seed=seed, connect_timeout_s=0.25),
     )
-    sockets_before = set(sockets())
+    sockets_before = set(list_open_sockets())
     audit = DescriptorLeakDetector(
         lambda: pool.table, pool.discard, lambda: peer_descriptors, count, lambda *_: None, time.monotonic
     )
     await _open_and_cancel(opens, random, upstreams, pool, audit)
-    pool.end()
+    pool.close_all()
     await asyncio.sleep(0.1)
     server.close()
     await asyncio.sleep(0.1)
-    audit.look()
-    audit.look()
+    audit.run_audit()
+    audit.run_audit()
     return {
         **counts,
         "in_table": len(pool.table),
-        "waiting": pool.waiting(),
-        "sockets_remaining": len(set(sockets()) - sockets_before - set(peer_descriptors)),
+        "waiting": pool.waiter_count(),
+        "sockets_remaining": len(set(list_open_sockets()) - sockets_before - set(peer_descriptors)),
     }
 
 
@@ -135,11 +135,11 @@
             else:
                 pool.release(chosen, random.random() < 0.3)
         if random.random() < 0.01:
-            pool.close_to(upstream)
+            pool.drain_upstream(upstream)
         for _ in range(random.choice((0, 0, 1, 1, 2, 3))):
             await asyncio.sleep(0)
         if number % _OPENS_PER_AUDIT == 0:
-            audit.look()
+            audit.run_audit()
 
 
 def _hold_when_ready(
--- a/indigokeel/balancing/attempt_results.py
+++ b/indigokeel/balancing/attempt_results.py
@@ -9,9 +9,8 @@
 from indigokeel.balancing.traffic_statistics import TrafficStatistics
 
 FAILURE_LATENCY_RATIO = 3.0  # a failure is recorded as this multiple of the expected latency
-HANG_LATENCY_RATIO = (
-    5.0  # a timeout after more than this multiple of the expected latency counts as two failures
-)
+# A timeout after more than this multiple of the expected latency counts as two failures.
+HANG_LATENCY_RATIO = 5.0
 
 
 class AttemptResults:
@@ -70,7 +69,7 @@
         # hanging; ejecting it would shift its load to the other upstreams.
         if upstream.last_success_at < attempt.sent_at:
             weight = 2 if elapsed_s > HANG_LATENCY_RATIO * attempt.expected_s else 1
-            self._ejection.record_failure(now, upstream, weight, silent=True)
+            self._ejection.record_failure(now, upstream, weight, timed_out=True)
 
     def _record_failure(self, now: float, attempt: AttemptState, outcome: AttemptOutcome) -> None:
         upstream = attempt.upstream
@@ -78,7 +77,7 @@
         if outcome is AttemptOutcome.REJECTED:
             self._ejection.record_common_failures()
         else:
-            upstream.uncounted_errors += 1
+            upstream.unattributed_errors += 1
         self._ejection.record_failure(now, upstream)
 
 
--- a/indigokeel/net/discovery.py
+++ b/indigokeel/net/discovery.py
@@ -71,7 +71,7 @@
         if self._last_watch not in self._watches:
             await self._watch()
 
-    async def move(self, address: tuple[str, int]) -> None:
+    async def change_address(self, address: tuple[str, int]) -> None:
         """Move the watch to another address; the old watch is kept until the new one is answered."""
         if address == self._address:
             if self.pushed:  # reopened if it has ended for any reason
@@ -173,7 +173,7 @@
             async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self._address)
             self._connections[writer] = writer.get_extra_info("socket").fileno()
-            writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target, http.host(self._address)))
+            writer.write(b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (target, http.format_host(self._address)))
             response = _DiscoveryResponse(reader)
             async with asyncio.timeout(timeout_s):
                 await response.read_head()
--- a/indigokeel/net/downstream/request_handler.py
+++ b/indigokeel/net/downstream/request_handler.py
@@ -30,13 +30,13 @@
         ``close`` tells the client that the connection ends with this response.
         """
         body = self.response.body if self.response is not None else None
-        return http.response(_STATUS_CODES[self.status], body or [], self.retry_after_s, close)
+        return http.format_response(_STATUS_CODES[self.status], body or [], self.retry_after_s, close)
 
 
 def encode_error(error: RequestError, close: bool) -> bytes:
     """Return the response that tells a client why its request cannot be served."""
     text = str(error).encode()
-    return b"".join(http.response(error.status, [text + b"\n"] if text else [], close=close))
+    return b"".join(http.format_response(error.status, [text + b"\n"] if text else [], close=close))
 
 
 class RequestHandler(Protocol[ConnectionT]):
@@ -69,7 +69,7 @@
     def shed_early(self, client: ConnectionT, arrived: float, class_name: str, budget: float) -> float | None:
         """Return the seconds after which to retry if the sidecar sheds the request, else None."""
 
-    def is_crowded(self) -> bool:
+    def has_too_many_active_connections(self) -> bool:
         """Return whether there are so many connections that each has to close after its response."""
 
     def connection_opened(self, client: ConnectionT) -> None:
--- a/indigokeel/net/downstream/response_writer.py
+++ b/indigokeel/net/downstream/response_writer.py
@@ -17,8 +17,8 @@
 _LAST_CHUNK = b"0\r\n\r\n"
 
 
-class WriterEvents(Protocol):
-    """The receiver of the writer's events, which report the end of a streamed response."""
+class ResponseWriterHandler(Protocol):
+    """Receives the callbacks of the writer, which report the end of a streamed response."""
 
     def on_response_written(self) -> None:
         """Handle the end of a complete streamed response."""
@@ -30,10 +30,10 @@
 class ResponseWriter:
     """Write responses; implements ``streams.Reader`` for streamed ones."""
 
-    __slots__ = ("_counters", "_events", "_stream", "_timeouts", "_transport", "write_paused")
+    __slots__ = ("_counters", "_handler", "_stream", "_timeouts", "_transport", "write_paused")
 
-    def __init__(self, events: WriterEvents, timeouts: ClientTimeouts, counters: Counters) -> None:
-        self._events = events
+    def __init__(self, handler: ResponseWriterHandler, timeouts: ClientTimeouts, counters: Counters) -> None:
+        self._handler = handler
         self._timeouts = timeouts
         self._counters = counters
         self._transport: asyncio.Transport
@@ -54,7 +54,7 @@
 
     def write_health(self, healthy: bool, close: bool) -> None:
         """Write the response to a health check; ``close`` if the connection ends with it."""
-        self._transport.write(http.head(200 if healthy else 503, 0, close=close))
+        self._transport.write(http.format_response_head(200 if healthy else 503, 0, close=close))
 
     def write_error(self, error: RequestError, close: bool) -> None:
         """Write the response to a request that cannot be served."""
@@ -76,28 +76,30 @@
         """Write the head; the body follows as it arrives."""
         self._stream = stream
         self._timeouts.restart(time.monotonic())
-        self._transport.write(http.head(200, stream.length, close=close))
+        self._transport.write(http.format_response_head(200, stream.length, close=close))
         stream.attach(self)
 
     def body(self, chunks: http.Body) -> None:
         """Write a part of the streamed body."""
         assert self._stream is not None
         self._timeouts.restart(time.monotonic())
-        self._transport.write(b"".join(http.chunk(chunks, False) if self._stream.length < 0 else chunks))
+        self._transport.write(
+            b"".join(http.encode_chunk(chunks, False) if self._stream.length < 0 else chunks)
+        )
 
-    def body_ended(self, whole: bool) -> None:
+    def body_ended(self, is_complete: bool) -> None:
         """End the streamed response, which is incomplete unless ``whole``."""
         stream = self._stream
         self._stream = None
         if stream is None:
             return
-        if not whole:
+        if not is_complete:
             self._counters.add("answers_cut_off")
-            self._events.on_response_truncated()
+            self._handler.on_response_truncated()
             return
         if stream.length < 0:
             self._transport.write(_LAST_CHUNK)
-        self._events.on_response_written()
+        self._handler.on_response_written()
 
     def abandon_stream(self) -> None:
         """Cancel the streamed response, if there is one."""
--- a/indigokeel/net/upstream/socket_writer.py
+++ b/indigokeel/net/upstream/socket_writer.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from indigokeel.net.errors import LocalError, Meaning, Step, meaning
+from indigokeel.net.errors import ErrorCategory, LocalError, SocketOperation, classify_errno
 from indigokeel.net.upstream.backoff import LocalRetryDelays
 
 _MAX_CHUNKS = 64  # per writev call, which accepts 1,024 at most (IOV_MAX)
@@ -16,7 +16,7 @@
 Chunks = Sequence[bytes | memoryview]
 
 
-class WriteEvents(Protocol):
+class WriteHandler(Protocol):
     """The receiver of the results of deferred writes."""
 
     def on_all_written(self) -> None:
@@ -30,15 +30,15 @@
     """Writes to one socket, in order, and retries writes that fail locally."""
 
     __slots__ = (
-        "_events", "_fd", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
+        "_fd", "_handler", "_loop", "_retry_delays", "_retry_timer", "_stall_timeout_s", "_stalled_s",
         "_unsent", "_watching",
     )  # fmt: skip
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, events: WriteEvents, retry_delays: LocalRetryDelays
+        self, loop: asyncio.AbstractEventLoop, handler: WriteHandler, retry_delays: LocalRetryDelays
     ) -> None:
         self._loop = loop
-        self._events = events
+        self._handler = handler
         self._fd = _CLOSED
         self._unsent: list[bytes | memoryview] = []
         self._watching = False
@@ -69,9 +69,9 @@
             self._unsent += chunks
             return True
         written, result = self._write_once(chunks)
-        if result is Meaning.UPSTREAM:
+        if result is ErrorCategory.UPSTREAM:
             return False
-        if result is Meaning.LOCAL and is_first:
+        if result is ErrorCategory.LOCAL and is_first:
             raise LocalError("write failed for lack of a local resource")
         if written < sum(map(len, chunks)):
             self._unsent = _remaining(chunks, written)
@@ -93,16 +93,16 @@
             self._watching = False
             self._loop.remove_writer(self._fd)
 
-    def _write_once(self, chunks: Chunks) -> tuple[int, Meaning]:
-        """Write once. Return the number of bytes written, and the meaning of the result."""
+    def _write_once(self, chunks: Chunks) -> tuple[int, ErrorCategory]:
+        """Write once. Return the number of bytes written, and the category of the result."""
         try:
-            return os.writev(self._fd, chunks[:_MAX_CHUNKS]), Meaning.GOES_ON
+            return os.writev(self._fd, chunks[:_MAX_CHUNKS]), ErrorCategory.NO_FAILURE
         except OSError as error:
-            return 0, meaning(error.errno, Step.WRITE)
+            return 0, classify_errno(error.errno, SocketOperation.WRITE)
 
-    def _schedule(self, result: Meaning) -> None:
+    def _schedule(self, result: ErrorCategory) -> None:
         """Continue when the socket is writable, or after a delay if the write failed locally."""
-        if result is not Meaning.LOCAL:
+        if result is not ErrorCategory.LOCAL:
             if not self._watching:
                 self._loop.add_writer(self._fd, self._on_writable)
                 self._watching = True
@@ -117,11 +117,11 @@
         if self._fd == _CLOSED:
             return
         written, result = self._write_once(self._unsent)
-        if result is Meaning.UPSTREAM:
-            self._events.on_write_error(None)
+        if result is ErrorCategory.UPSTREAM:
+            self._handler.on_write_error(None)
             return
-        if result is Meaning.LOCAL and self._stalled_s >= self._stall_timeout_s:
-            self._events.on_write_error(
+        if result is ErrorCategory.LOCAL and self._stalled_s >= self._stall_timeout_s:
+            self._handler.on_write_error(
                 LocalError("write failed for lack of a local resource until the retries timed out")
             )
             return
@@ -133,7 +133,7 @@
             self._schedule(result)
             return
         self._unwatch()
-        self._events.on_all_written()
+        self._handler.on_all_written()
 
     def _unwatch(self) -> None:
         if self._watching:
--- a/indigokeel/process/housekeeping.py
+++ b/indigokeel/process/housekeeping.py
@@ -9,7 +9,7 @@
 from indigokeel.net.downstream.client_registry import ClientRegistry
 from indigokeel.net.upstream.client import UpstreamClient
 from indigokeel.net.upstream.descriptor_audit import DescriptorLeakDetector
-from indigokeel.process.standstill import EventLoopWatchdog
+from indigokeel.process.event_loop_watchdog import EventLoopWatchdog
 from indigokeel.process.supervision import Supervisor
 
 _CHECK_INTERVAL_S = 0.2
@@ -57,4 +57,4 @@
             if checks % _CHECKS_PER_EXPIRY == 0:
                 guarded("closing idle connections", self._upstream_client.close_expired, now)
             if checks % _CHECKS_PER_AUDIT == 0:
-                guarded("descriptor audit", self._leak_detector.look)
+                guarded("descriptor audit", self._leak_detector.run_audit)
--- a/indigokeel/process/sidecar.py
+++ b/indigokeel/process/sidecar.py
@@ -25,12 +25,12 @@
 from indigokeel.process.counter_report import CounterReport
 from indigokeel.process.effect_executor import EffectExecutor
 from indigokeel.process.endpoint_feed import EndpointFeed
+from indigokeel.process.event_loop_watchdog import EventLoopWatchdog
 from indigokeel.process.housekeeping import Housekeeping
 from indigokeel.process.lag_monitor import LagMonitor
 from indigokeel.process.reload import ConfigReloader, ReloadTargets
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import Shutdown, ShutdownTimes
-from indigokeel.process.standstill import EventLoopWatchdog
 from indigokeel.process.state_persistence import StatePersistence
 from indigokeel.process.supervision import Supervisor
 from indigokeel.requests.coordinator import RequestCoordinator
@@ -150,7 +150,7 @@
             await self._restore_state()
             self._start_watch(loop)
             self._start_persistence()
-            if self._reloader.config.mgmt is not None:
+            if self._reloader.config.admin_address is not None:
                 self._supervisor.keep_running("admin server", self._start_admin_server)
             clients = self._accept_clients(loop, listener)
             self._start_housekeeping()
@@ -197,7 +197,7 @@
             self._supervisor.keep_running(
                 "state synchronisation", self._persistence.synchronise, lambda: self.closing
             )
-            self._supervisor.keep_running("cordon store", self._persistence.keep_stored)
+            self._supervisor.keep_running("cordon store", self._persistence.keep_cordons_stored)
 
     def _accept_clients(self, loop: asyncio.AbstractEventLoop, listener: socket.socket) -> ClientListener:
         clients = ClientListener(
@@ -205,7 +205,7 @@
             listener,
             lambda: ClientConnection(self._requests, self._counters),
             self._counters,
-            self._requests.make_room_for_backlog,
+            self._requests.evict_for_backlog,
         )
         clients.open()
         self._admin_service.accepting = True
@@ -232,7 +232,7 @@
 
     async def _start_admin_server(self) -> None:
         """Listen on the admin address, retrying because an address in use may become free."""
-        address = self._reloader.config.mgmt
+        address = self._reloader.config.admin_address
         while address is not None:
             try:
                 await self._admin.listen(address)
@@ -289,7 +289,7 @@
 
     def _report_counters(self) -> None:
         """Print the counters; an exception in this affects nothing else."""
-        self._supervisor.run_guarded("descriptor audit", self._leak_detector.look)
+        self._supervisor.run_guarded("descriptor audit", self._leak_detector.run_audit)
         self._supervisor.run_guarded("counters", self._counter_report.print)
 
 
--- a/indigokeel/requests/coordinator.py
+++ b/indigokeel/requests/coordinator.py
@@ -104,7 +104,7 @@
             effects.answers.append(self._requests.reject_for_capacity(request))
             return effects
         open_request = self._requests.open(now, request)
-        if not request.long:
+        if not request.body_streamed:
             self._driver.schedule_expiry(open_request)
         event = RequestArrived(
             request.id, request.class_name, request.budget, request.tenant, request.key, request.hint
@@ -128,10 +128,10 @@
         self._requests.mark_answered(request)
         self._driver.deliver(now, ClientDisconnected(request_id), effects, request)
         for number, attempt in enumerate(request.attempts):
-            if request.long:
+            if request.body_streamed:
                 self._driver.time_out_attempt(now, request, number, effects)
             elif not attempt.sent and not attempt.ended:
-                effects.cancelled.append((request.id, number))
+                effects.cancelled_attempts.append((request.id, number))
                 self._driver.end_attempt(now, request, number, AttemptOutcome.NOT_SENT, effects)
         return effects
 
@@ -143,7 +143,7 @@
                 request.limited_by_shutdown = True
                 self._driver.schedule_expiry(request)
 
-    def may_begin(self, now: float, attempt: Attempt) -> bool:
+    def may_send_attempt(self, now: float, attempt: Attempt) -> bool:
         """Decide whether an attempt may still be sent; called right before its first byte is written.
 
         While its connection was being opened, the upstream may have started to drain, the request may have
@@ -203,7 +203,7 @@
                 timer.callback(now, effects)
             except Exception as error:  # affects this timer alone; the effects of the others are kept
                 self._timer_faults += 1
-                effects.notes.append(f"fault in a timer: {type(error).__name__}: {error}")
+                effects.log_messages.append(f"fault in a timer: {type(error).__name__}: {error}")
         if self._timers.next_deadline() <= now:
             self.ticks_cut_short += 1
         return effects
@@ -225,7 +225,7 @@
 
     def endpoint_watch_failed(self, now: float) -> Effects:
         """Record that a call to discovery has failed or that a watch has ended."""
-        self._directory.start_times.list_lost(now)
+        self._directory.start_times.record_discovery_lost(now)
         effects = Effects()
         self._driver.deliver(now, MembershipUpdate(UpdateKind.FAILED), effects)
         return effects
@@ -255,7 +255,7 @@
         try:
             learned_state.restore(self._balancer, now, data)
         except learned_state.LearnedStateError as error:
-            effects.notes.append(f"learned state of the previous process ignored: {error}")
+            effects.log_messages.append(f"learned state of the previous process ignored: {error}")
         return effects
 
     def export_start_times(self, now: float) -> StartsSnapshot | None:
@@ -270,8 +270,8 @@
         self._directory.start_times.inherit(snapshot)
 
     def _apply_change(self, now: float, change: DirectoryChange, effects: Effects) -> None:
-        effects.close_idle += change.moved
-        effects.preconnect += change.added
+        effects.drain_connections += change.stale_upstreams
+        effects.preconnect += change.new_upstreams
         self._driver.deliver(now, change.membership, effects)
 
     def _apply_cordons(self, now: float, changed: list[str] | None) -> Effects | None:
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -48,7 +48,7 @@
 def test_cordoned_upstream_stays_out_of_service_whatever_lists_say() -> None:
     coordinator = _coordinator()
     effects = coordinator.cordon(NOW, "s-1")
-    assert effects is not None and effects.close_idle == ["s-1"]
+    assert effects is not None and effects.drain_connections == ["s-1"]
     assert coordinator.cordon(NOW, "s-1") is not None  # a repeated call succeeds as well
     moved = replace(ENDPOINTS[1], port=2000, since=NOW + 1.0)
     for update in (
@@ -60,9 +60,8 @@
         coordinator.update_endpoints(NOW + 1.0, update)
         assert coordinator.address("s-1") is None
     assert _upstreams_used(coordinator, NOW + 1.0) == {"s-0", "s-2"}
-    assert (
-        coordinator.uncordon(NOW + 2.0, "s-1") is not None
-    )  # one call lifts the cordon, however many calls set it
+    # One call lifts the cordon, however many calls set it.
+    assert coordinator.uncordon(NOW + 2.0, "s-1") is not None
     assert coordinator.address("s-1") == ("127.0.0.1", 2000)
     assert _upstreams_used(coordinator, NOW + 2.0) == {"s-0", "s-1", "s-2"}
 
@@ -71,7 +70,7 @@
     """Return the start time that the balancer assumes for each upstream."""
     return {
         name: upstream.member.started
-        for name, upstream in coordinator._balancer.learned_figures().upstreams.items()
+        for name, upstream in coordinator._balancer.learned_statistics().upstreams.items()
     }
 
 
@@ -91,7 +90,7 @@
     coordinator = _coordinator()
     attempt = coordinator.pick(NOW, Request("j", "view", 1.0)).attempts[0]
     coordinator.cordon(NOW, attempt.upstream)
-    assert not coordinator.may_begin(NOW, attempt)
+    assert not coordinator.may_send_attempt(NOW, attempt)
 
 
 def test_unknown_ids_are_rejected_and_cordoned_ids_that_left_the_list_are_accepted() -> None:
@@ -278,10 +277,8 @@
 
 
 def test_next_process_starts_from_the_learned_state() -> None:
-    old, new = (
-        _coordinator(),
-        RequestCoordinator(make_settings(), 2, 500.0),
-    )  # the wall clock was set between the two starts
+    # The wall clock was set between the two starts.
+    old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 500.0)
     _serve_mixed_load(old)
     now = NOW + 3.0
     new.update_endpoints(now, EndpointList(1, True, ENDPOINTS), cached=True)
@@ -291,7 +288,7 @@
     assert (
         restored is not None
         and restored.at == now
-        and new.restore_learned_state(now, restored.figures).notes == []
+        and new.restore_learned_state(now, restored.figures).log_messages == []
     )
     before, after = old.export_learned_state(now), new.export_learned_state(now)
     assert before is not None and after is not None
@@ -303,7 +300,7 @@
         assert actual[3] == pytest.approx(health) and actual[2][:2] == pytest.approx(reports[:2])
 
 
-def test_upstream_that_has_restarted_takes_over_no_learned_figures() -> None:
+def test_upstream_that_has_restarted_takes_over_no_learned_statistics() -> None:
     old, new = _coordinator(), RequestCoordinator(make_settings(), 2, 0.0)
     _serve_mixed_load(old)
     restarted = (replace(ENDPOINTS[0], since=NOW + 2.0), *ENDPOINTS[1:])
@@ -331,12 +328,12 @@
 def test_invalid_learned_state_is_reported_and_harmless(invalid: dict[str, object]) -> None:
     coordinator = _coordinator()
     valid = coordinator.export_learned_state(NOW)
-    assert valid is not None and coordinator.restore_learned_state(NOW, valid).notes == []
-    notes = coordinator.restore_learned_state(NOW, {**valid, **invalid}).notes
+    assert valid is not None and coordinator.restore_learned_state(NOW, valid).log_messages == []
+    notes = coordinator.restore_learned_state(NOW, {**valid, **invalid}).log_messages
     assert len(notes) == 1 and notes[0].startswith("learned state of the previous process ignored")
     assert (
-        coordinator.restore_learned_state(NOW, None).notes
-        and coordinator.restore_learned_state(NOW, []).notes
+        coordinator.restore_learned_state(NOW, None).log_messages
+        and coordinator.restore_learned_state(NOW, []).log_messages
     )
     assert _upstreams_used(coordinator, NOW + 1.0)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from indigokeel.endpoints.endpoint_list import Endpoint, EndpointList
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import Attempt, Effects, FinalStatus, Request
-from tests.conftest import KEYED, UNSAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import KEYED, UNSAFE, Driver, actions_of_type, make_members, make_settings, sent_attempts
 
 SIDECARS, UPSTREAMS, UPSTREAM_RATE = 40, 60, 30.0  # UPSTREAM_RATE: requests/s of a warm upstream
 SAFETY = Safety(warm_up_initial_ratio=0.35, warm_up_time=8.8, overload_multiple=3.0, overload_window=1.5)
@@ -88,7 +88,7 @@
         self.apply_effects(sidecar, self.coordinators[sidecar].update_endpoints(self.now, update, cached))
 
     def apply_effects(self, sidecar: int, effects: Effects) -> None:
-        if effects.watch:
+        if effects.start_watch:
             self.watch_calls.append((self.now, sidecar))
             self.schedule(
                 self.now + 0.01,
@@ -122,7 +122,7 @@
                     sidecar, self.coordinators[sidecar].report(self.now, attempt, outcome)
                 ),
             )
-        elif self.coordinators[sidecar].may_begin(self.now, attempt):
+        elif self.coordinators[sidecar].may_send_attempt(self.now, attempt):
             self.schedule(
                 self.now + self.random.uniform(0.02, 0.08), lambda: self.finish_attempt(sidecar, attempt)
             )
@@ -182,12 +182,10 @@
     fleet.add_traffic(rates, 1015.0)
     fleet.run(1016.0)
     quiet = [len(used) for used in fleet.upstreams_used[:-1]]
-    assert (
-        max(quiet) <= 20 and len(fleet.upstreams_used[-1]) == UPSTREAMS
-    )  # the busy sidecar uses all upstreams
-    assert (
-        len({upstream for used in fleet.upstreams_used[:-1] for upstream in used}) == UPSTREAMS
-    )  # the subsets differ
+    # The busy sidecar uses all upstreams.
+    assert max(quiet) <= 20 and len(fleet.upstreams_used[-1]) == UPSTREAMS
+    # The subsets differ.
+    assert len({upstream for used in fleet.upstreams_used[:-1] for upstream in used}) == UPSTREAMS
 
 
 def test_every_sidecar_uses_all_upstreams_of_a_small_fleet() -> None:
@@ -263,12 +261,12 @@
         for _ in range(200):
             driver.now += 0.05
             _, actions = driver.request("pay")
-            for send in sends(actions):
+            for send in sent_attempts(actions):
                 how = AttemptOutcome.ERROR if send.upstream in failing else AttemptOutcome.OK
                 ended = driver.end(send, how)
                 if how is AttemptOutcome.ERROR:
                     failures[send.upstream] += 1
-                for log in of(ended, LogMessage):
+                for log in actions_of_type(ended, LogMessage):
                     if (
                         log.text == f"ejected {send.upstream}: consecutive failures"
                         and send.upstream in failing
@@ -288,7 +286,9 @@
     for _ in range(3000):
         driver.now += 0.05
         _, actions = driver.request("pay")
-        for send in sends(actions):
+        for send in sent_attempts(actions):
             how = AttemptOutcome.ERROR if random.random() < 0.15 else AttemptOutcome.OK
-            ejections += sum(log.text.startswith("ejected") for log in of(driver.end(send, how), LogMessage))
+            ejections += sum(
+                log.text.startswith("ejected") for log in actions_of_type(driver.end(send, how), LogMessage)
+            )
     assert ejections <= 10
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -32,7 +32,16 @@
     UpdateKind,
 )
 from indigokeel.balancing.settings import Limits, LoadReportSource, Safety
-from tests.conftest import KEYED, SAFE, UNSAFE, Driver, make_members, make_settings, of, sends
+from tests.conftest import (
+    KEYED,
+    SAFE,
+    UNSAFE,
+    Driver,
+    actions_of_type,
+    make_members,
+    make_settings,
+    sent_attempts,
+)
 
 BEGIN = 1000.0  # clock time at which the fleet begins
 STARTED = 1003.0  # clock time at which upstreams start cold; every sidecar is notified at once
@@ -248,9 +257,8 @@
                 total += work
                 while inside[0][0] < when - safety.overload_window:
                     total -= inside.popleft()[1]
-                first = max(
-                    age - safety.overload_window, 0.0
-                )  # the age at which the window begins, with the lowest allowance
+                # The age at which the window begins, with the lowest allowance.
+                first = max(age - safety.overload_window, 0.0)
                 ratio = (
                     safety.warm_up_initial_ratio
                     + (1.0 - safety.warm_up_initial_ratio) * first / safety.warm_up_time
@@ -325,7 +333,9 @@
     )
     cold = replace(make_members(6)[0], started=1000.0)
     driver = Driver(settings, (cold, *make_members(6)[1:]))
-    checked = [check.upstream for _ in range(40) for check in of(driver.request()[1], SendHealthCheck)]
+    checked = [
+        check.upstream for _ in range(40) for check in actions_of_type(driver.request()[1], SendHealthCheck)
+    ]
     assert checked and cold.id not in checked
 
 
@@ -337,4 +347,4 @@
         assert first == second
         for driver in drivers:
             driver.now += 0.02
-            driver.end(sends(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
+            driver.end(sent_attempts(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
