--- a/tests/peers.py
+++ b/tests/peers.py
@@ -309,7 +309,7 @@
         try:
             with socket.create_connection((OPERATORS, self.mgmt), timeout=WAIT) as conn:
                 conn.sendall(admin_call(method, what, who))
-                return read_answer(conn.makefile("rb"))[0]
+                return read_response(conn.makefile("rb"))[0]
         except ConnectionError:
             return 0
 
@@ -326,7 +326,7 @@
         """Send bytes on a new connection and read one response."""
         with self.connect() as conn:
             conn.sendall(raw)
-            return read_answer(conn.makefile("rb"))
+            return read_response(conn.makefile("rb"))
 
     def logged(self, text: str, count: int) -> bool:
         """Return whether a text was logged exactly ``count`` times."""
@@ -354,7 +354,7 @@
     return int(status.partition("VmRSS:")[2].split()[0])
 
 
-def read_answer(file: Any) -> tuple[int, Message]:
+def read_response(file: Any) -> tuple[int, Message]:
     message = read_message(file)
     if message is None:
         raise ConnectionError("connection closed without a response")
--- a/tests/pool_harness.py
+++ b/tests/pool_harness.py
@@ -65,7 +65,7 @@
         self.counts: Counter[str] = Counter()
         self.logged: list[tuple[str, str]] = []
         self.now = 100.0
-        self.ready: list[UpstreamConnection | ConnectFailure] = []
+        self.results: list[UpstreamConnection | ConnectFailure] = []
         telemetry = Telemetry(self.count, self.log, self.clock)
         self.pool = ConnectionPool(
             limits or ConnectionLimits(6, 4, 2),
@@ -133,10 +133,10 @@
     def acquire(
         self, upstream: str = "up", timeout_s: float = 5.0, unsafe: bool = False, faulty: bool = False
     ) -> UpstreamConnection | ConnectionWaiter:
-        """Acquire a connection. A waiter adds its result to ``ready``; a ``faulty`` one then raises."""
+        """Acquire a connection. A waiter adds its result to ``results``; a ``faulty`` one then raises."""
 
         def on_result(result: UpstreamConnection | ConnectFailure) -> None:
-            self.ready.append(result)
+            self.results.append(result)
             if faulty:
                 raise RuntimeError("a fault in the waiter")
 
@@ -146,18 +146,18 @@
         assert isinstance(found, UpstreamConnection | ConnectionWaiter)
         return found
 
-    def connection(self) -> UpstreamConnection:
+    def establish_connection(self) -> UpstreamConnection:
         """Acquire a connection to ``up``, and return it once it is established."""
-        before = len(self.ready)
+        before = len(self.results)
         found = self.acquire()
         if isinstance(found, UpstreamConnection):
             return found
-        self.until(lambda: len(self.ready) > before)
-        connection = self.ready[-1]
+        self.run_until(lambda: len(self.results) > before)
+        connection = self.results[-1]
         assert isinstance(connection, UpstreamConnection)
         return connection
 
-    def until(self, condition: Callable[[], bool]) -> None:
+    def run_until(self, condition: Callable[[], bool]) -> None:
         """Run the event loop until a condition holds."""
         for _ in range(20_000):
             if condition():
@@ -178,7 +178,7 @@
         """Assert that the connection table holds exactly the open sockets of the pool."""
         assert {connection.inode for connection in self.pool.table} == self.open_inodes()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Close the pool and the upstreams, and assert that the pool leaves no socket open."""
         self.run(self.pool.close_all)
         self.step(2)
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -19,9 +19,9 @@
 
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.listener import MAX_ACCEPTS_PER_TURN, ClientListener
-from tests.peers import Program, echo, read_answer, request, running, until
+from tests.peers import Program, echo, read_response, request, running, until
 from tests.test_crowds import stopped
-from tests.test_endings import HEALTH
+from tests.test_endings import HEALTH_REQUEST
 
 # --- on a real event loop ---------------------------------------------------------------------------------
 
@@ -132,12 +132,12 @@
     with stopped(program):
         client_sockets = [program.connect() for _ in range(clients)]
         for client in client_sockets:
-            client.sendall(HEALTH)
+            client.sendall(HEALTH_REQUEST)
     codes = []
     for client in client_sockets:
         code = 0
         with client, contextlib.suppress(OSError), client.makefile("rb") as file:
-            code = read_answer(file)[0]
+            code = read_response(file)[0]
         codes.append(code)
     return codes
 
@@ -181,5 +181,5 @@
         with contextlib.ExitStack() as stack:
             for _ in range(10):
                 stack.enter_context(program.connect())
-            assert program.ask(HEALTH)[0] == 200
+            assert program.ask(HEALTH_REQUEST)[0] == 200
             assert program.counters()["clients_evicted"] > 0
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -27,8 +27,8 @@
     long_answer,
     ok,
     parse_endpoint_list,
-    read_answer,
     read_message,
+    read_response,
     request,
     rss,
     running,
@@ -57,7 +57,7 @@
         file = conn.makefile("rb")
         for _ in range(3):
             conn.sendall(request())
-            code, got = read_answer(file)
+            code, got = read_response(file)
             assert code == 200 and got.body == LONG_BODY
         counters = program.counters()
         assert (counters["requests_served"], counters["answers_begun"], counters["requests_unanswered"]) == (
@@ -78,7 +78,7 @@
         with program.connect() as conn:
             conn.sendall(request())
             file = conn.makefile("rb")
-            code, answer = read_answer(file)
+            code, answer = read_response(file)
             assert code == 200 and len(answer.body) < int(answer.headers["content-length"]) == len(LONG_BODY)
         assert len(upstreams[0].got) == 1 and program.counters()["answers_cut_off"] == 1
 
@@ -117,7 +117,7 @@
         for _ in range(5):
             with program.connect() as conn:
                 conn.sendall(request())
-                code, answer = read_answer(conn.makefile("rb"))
+                code, answer = read_response(conn.makefile("rb"))
                 truncated += len(answer.body) < len(LONG_BODY)
                 assert code == 200 and LONG_BODY.startswith(answer.body)
                 assert answer.headers["content-length"] == str(len(LONG_BODY))
@@ -226,9 +226,9 @@
                     time.sleep(0.002)
             else:
                 conn.sendall(raw)
-            code, answer = read_answer(file)
+            code, answer = read_response(file)
             if code == 100:
-                code, answer = read_answer(file)
+                code, answer = read_response(file)
             assert (code, answer.body) == (200, b"took %d" % len(LONG_BODY))
         assert bodies == [LONG_BODY, LONG_BODY]
         assert program.counters()["requests_unanswered"] == 0
@@ -241,7 +241,7 @@
         conn.sendall(raw[:200_000])
         time.sleep(0.5)
         conn.sendall(raw[200_000:])
-        assert read_answer(conn.makefile("rb"))[1].body == LONG_BODY
+        assert read_response(conn.makefile("rb"))[1].body == LONG_BODY
 
 
 def test_truncated_long_request_is_never_complete_at_the_upstream(tmp_path: Path) -> None:
@@ -267,11 +267,11 @@
             file = conn.makefile("rb")
             raw = request("pay", LONG_BODY)
             conn.sendall(raw[:300_000])
-            code, answer = read_answer(file)  # before the rest is sent
+            code, answer = read_response(file)  # before the rest is sent
             assert code == 503 and "retry-after" in answer.headers
             conn.sendall(raw[300_000:])
             conn.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-            assert read_answer(file)[0] == 200
+            assert read_response(file)[0] == 200
     finally:
         program.process.kill()
         program.process.wait()
@@ -294,7 +294,7 @@
         until(lambda: program.counters().get("requests_accepted", 0) == 1)
         proceed.set()
         file = conn.makefile("rb")
-        assert read_answer(file)[1].body == b"first"
-        code, answer = read_answer(file)
+        assert read_response(file)[1].body == b"first"
+        code, answer = read_response(file)
         assert (code, answer.body) == (200, LONG_BODY)
         sender.join()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -23,13 +23,13 @@
     entry,
     ok,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     running,
     status,
     until,
 )
-from tests.test_endings import LEAVING, Held
+from tests.test_endings import DISCONNECTS, HeldUpstream
 
 # Further input that the client has sent after its request; the last two pause reading.
 BEHIND = {
@@ -46,7 +46,7 @@
     return sum(len(upstream.got) for upstream in upstreams)
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 @pytest.mark.parametrize(
     ("state", "first"),
@@ -75,13 +75,13 @@
         assert received_by(upstreams) == before + 1
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_hedged_request_for_a_client_that_has_left(
     tmp_path: Path, disconnect: Disconnect, behind: str
 ) -> None:
     """A hedged request: the second attempt would be sent while the first one is in flight."""
-    upstream, other = Held(), Held()
+    upstream, other = HeldUpstream(), HeldUpstream()
     with running(tmp_path, upstream, other) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request("view", wait_ms=1200) + BEHIND[behind])
         until(lambda: received_by(upstreams) == 1)
@@ -91,10 +91,10 @@
         until(lambda: program.counters().get("attempt_cancelled", 0) == before)  # the deadline has passed
         assert received_by(upstreams) == before
         for held in (upstream, other):
-            held.let.set()
+            held.release.set()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_first_attempt_once_an_upstream_is_added(
     tmp_path: Path, disconnect: Disconnect, behind: str
@@ -111,7 +111,7 @@
     upstream.close()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_last_byte_of_a_long_body_is_not_forwarded(tmp_path: Path, disconnect: Disconnect) -> None:
     """An upstream starts a request with its last byte. The client writes the whole body and disconnects while
     the upstream reads slowly, so that the sidecar has paused reading."""
@@ -148,5 +148,5 @@
                 sender.start()
                 file = conn.makefile("rb")
                 for _ in range(1 + behind.count(b"HTTP/1.1")):
-                    assert read_answer(file)[0] == 200
+                    assert read_response(file)[0] == 200
                 sender.join()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -30,7 +30,7 @@
     """Return a pool harness that is checked and closed after the test."""
     made = PoolHarness()
     yield made
-    made.end()
+    made.close()
 
 
 class PoolMachine(RuleBasedStateMachine):
@@ -45,9 +45,9 @@
 
     def _collect_connections(self) -> None:
         self.connections += [
-            connection for connection in self.harness.ready if isinstance(connection, UpstreamConnection)
+            connection for connection in self.harness.results if isinstance(connection, UpstreamConnection)
         ]
-        self.harness.ready.clear()
+        self.harness.results.clear()
 
     @rule(
         upstream=st.sampled_from(["up", "up", "up", "refuses", "silent"]),
@@ -136,7 +136,7 @@
 
     def teardown(self) -> None:
         if hasattr(self, "harness"):
-            self.harness.end()
+            self.harness.close()
             assert not self.harness.pool.waiter_count()
 
 
@@ -173,8 +173,8 @@
 
 def test_waiters_get_released_connections_in_order() -> None:
     harness = PoolHarness(ConnectionLimits(4, 4, 2))
-    connections = [harness.connection() for _ in range(4)]
-    harness.ready.clear()
+    connections = [harness.establish_connection() for _ in range(4)]
+    harness.results.clear()
     order: list[int] = []
 
     def wait(number: int) -> None:
@@ -187,29 +187,29 @@
     for connection in connections[:3]:
         harness.run(lambda held=connection: harness.pool.release(held, True))  # type: ignore[misc]
     assert order == [0, 1, 2]
-    harness.end()
+    harness.close()
 
 
 def test_failed_connects_open_the_circuit_and_one_trial_closes_it(harness: PoolHarness) -> None:
     for _ in range(FAILURE_THRESHOLD + 3):
         harness.acquire("refuses")
-        harness.until(lambda: not harness.pool.waiter_count())
+        harness.run_until(lambda: not harness.pool.waiter_count())
         harness.step(2)
     assert harness.counts["connects_failed"] == FAILURE_THRESHOLD
     assert harness.counts["connects_not_tried"] >= 1
     assert any("consecutive connects failed" in text for _, text in harness.logged)
     harness.now += 5.0  # the open time is over, and the upstream accepts connects again
     server = socket.create_server(harness.addresses["refuses"])
-    harness.ready.clear()
+    harness.results.clear()
 
     def acquire_five() -> int:
         for _ in range(5):
-            harness.pool.acquire("refuses", harness.addresses["refuses"], 5.0, harness.ready.append)
+            harness.pool.acquire("refuses", harness.addresses["refuses"], 5.0, harness.results.append)
         return harness.pool.table.count("refuses", ConnectionState.OPENING)
 
     assert harness.run(acquire_five) == 1  # half-open: one trial for all waiters
-    harness.until(lambda: len(harness.ready) >= 4)
-    assert all(isinstance(connection, UpstreamConnection) for connection in harness.ready)
+    harness.run_until(lambda: len(harness.results) >= 4)
+    assert all(isinstance(connection, UpstreamConnection) for connection in harness.results)
     server.close()
     harness.check_table()
 
@@ -218,10 +218,10 @@
     for _ in range(FAILURE_THRESHOLD):
         harness.acquire("silent", 0.002)
         harness.now += 0.01
-        harness.until(lambda: not harness.pool.waiter_count())
-    harness.ready.clear()
+        harness.run_until(lambda: not harness.pool.waiter_count())
+    harness.results.clear()
     harness.acquire("silent", 60.0)
-    harness.until(lambda: harness.ready == [ConnectFailure.UPSTREAM])
+    harness.run_until(lambda: harness.results == [ConnectFailure.UPSTREAM])
     assert harness.counts["connects_not_tried"] == 1 and len(harness.pool.table) == 0
 
 
@@ -230,7 +230,7 @@
 ) -> None:
     """An idle connection is closed to free its descriptor. If none is idle, the error is logged and the wait
     continues until a connect succeeds, or ends with a local failure at its timeout."""
-    idle = harness.connection()
+    idle = harness.establish_connection()
     harness.run(lambda: harness.pool.release(idle, True))
     real, available = socket.socket, [0]
 
@@ -244,16 +244,16 @@
     harness.acquire("refuses")
     assert idle.state is ConnectionState.CLOSED and harness.counts["descriptors_exhausted"] == 1
     available[0] = -9
-    harness.ready.clear()
+    harness.results.clear()
     harness.acquire("up")
     assert harness.pool.waiter_count() == 1
-    harness.until(lambda: bool(harness.ready))
+    harness.run_until(lambda: bool(harness.results))
     # The connect succeeds at the eleventh try, and none is made after it.
-    assert isinstance(harness.ready[-1], UpstreamConnection) and available[0] == 1
+    assert isinstance(harness.results[-1], UpstreamConnection) and available[0] == 1
     assert ("error" in {level for level, _ in harness.logged}) and harness.pool.waiter_count() == 0
     available[0] = -1000
     harness.acquire("up", 0.01)
-    harness.until(lambda: harness.ready[-1] is ConnectFailure.LOCAL)
+    harness.run_until(lambda: harness.results[-1] is ConnectFailure.LOCAL)
     assert harness.pool.waiter_count() == 0
     assert harness.counts["connects_failed"] == 1  # the connect to ``refuses``
     monkeypatch.undo()
@@ -262,18 +262,18 @@
 
 def test_connection_to_a_former_address_is_not_reused(harness: PoolHarness) -> None:
     """The address may belong to another upstream by now."""
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.run(lambda: harness.pool.release(connection, True))
     server = socket.create_server(("127.0.0.1", 0))
     harness.addresses["up"] = server.getsockname()
     found = harness.acquire()
     assert isinstance(found, ConnectionWaiter) and connection.state is ConnectionState.CLOSED
-    harness.until(lambda: bool(harness.ready) and isinstance(harness.ready[-1], UpstreamConnection))
+    harness.run_until(lambda: bool(harness.results) and isinstance(harness.results[-1], UpstreamConnection))
     server.close()
 
 
 def test_drain_closes_idle_connections_at_once_and_others_when_released(harness: PoolHarness) -> None:
-    first, second = harness.connection(), harness.connection()
+    first, second = harness.establish_connection(), harness.establish_connection()
     harness.run(lambda: harness.pool.release(first, True))
     harness.run(lambda: harness.pool.drain_upstream("up"))
     assert (first.state, second.state) == (ConnectionState.CLOSED, ConnectionState.DRAINING)
@@ -284,28 +284,28 @@
 
 def test_upstream_limit_applies_only_beside_other_upstreams() -> None:
     harness = PoolHarness(ConnectionLimits(8, 4, 8))
-    taken = [harness.connection() for _ in range(8)]
+    taken = [harness.establish_connection() for _ in range(8)]
     harness.run(lambda: harness.pool.close(taken[0]))
     for connection in taken[1:4]:
         harness.run(lambda held=connection: harness.pool.close(held))  # type: ignore[misc]
     server = socket.create_server(("127.0.0.1", 0))
     harness.addresses["other"] = server.getsockname()
     harness.acquire("other")
-    harness.until(lambda: harness.pool.table.count("other", ConnectionState.IN_USE) == 1)
+    harness.run_until(lambda: harness.pool.table.count("other", ConnectionState.IN_USE) == 1)
     harness.acquire("up")
     assert harness.pool.table.count("up", ConnectionState.OPENING) == 0  # now its limit is reached
     server.close()
-    harness.end()
+    harness.close()
 
 
 def test_calls_share_a_connection_up_to_its_limit() -> None:
     harness = PoolHarness(ConnectionLimits(1, 1, 1), calls=3)
-    connection = harness.connection()
+    connection = harness.establish_connection()
     assert [harness.acquire() for _ in range(2)] == [connection, connection]
     assert isinstance(harness.acquire(), ConnectionWaiter)
     harness.run(lambda: harness.pool.release(connection, True))
-    assert harness.ready[-1] is connection and connection.calls == 3
-    harness.end()
+    assert harness.results[-1] is connection and connection.calls == 3
+    harness.close()
 
 
 def test_new_upstream_is_preconnected_once(harness: PoolHarness) -> None:
@@ -313,7 +313,7 @@
         harness.run(lambda: harness.pool.preconnect("up", harness.addresses["up"]))
         harness.step(3)
     assert harness.counts["connections_warmed"] == 1
-    harness.until(lambda: harness.pool.table.count("up", ConnectionState.IDLE) == 1)
+    harness.run_until(lambda: harness.pool.table.count("up", ConnectionState.IDLE) == 1)
     assert isinstance(harness.acquire(), UpstreamConnection)
 
 
@@ -321,9 +321,9 @@
     """A delayed event loop runs its timers before it polls its sockets."""
 
     def acquire_and_block() -> None:
-        harness.pool.acquire("up", harness.addresses["up"], 0.005, harness.ready.append)
+        harness.pool.acquire("up", harness.addresses["up"], 0.005, harness.results.append)
         time.sleep(0.03)  # the event loop is blocked
 
     harness.run(acquire_and_block)
-    harness.until(lambda: bool(harness.ready))
-    assert isinstance(harness.ready[0], UpstreamConnection) and not harness.counts["connects_failed"]
+    harness.run_until(lambda: bool(harness.results))
+    assert isinstance(harness.results[0], UpstreamConnection) and not harness.counts["connects_failed"]
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -18,8 +18,8 @@
 
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, Handler
-from tests.peers import Message, Program, ok, read_answer, request, running, status, until
-from tests.test_endings import BIG, LEAVING
+from tests.peers import Message, Program, ok, read_response, request, running, status, until
+from tests.test_endings import BIG, DISCONNECTS
 
 SOCKETS = 64  # descriptors of the process, of which 17 are for clients
 MAX_CLIENTS = 17
@@ -41,7 +41,7 @@
 # --- a client that disconnects before the event loop reads its request ----------------------------------
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_request_read_after_its_client_disconnected_is_not_forwarded(
     tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
@@ -49,7 +49,7 @@
     with running(tmp_path, lambda message: ok(message.body)) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"0"))
-        assert read_answer(conn.makefile("rb"))[0] == 200
+        assert read_response(conn.makefile("rb"))[0] == 200
         # The next attempt need not wait for a connection.
         until(lambda: program.counters()["upstream_connections_idle"] == 1)
         with stopped(program):
@@ -67,7 +67,7 @@
         conn.close()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_retry_is_not_sent_once_its_client_has_disconnected(
     tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
@@ -117,9 +117,9 @@
             other = program.connect()
             others.append(other)
             other.sendall(request("pay", b"2"))
-            assert read_answer(other.makefile("rb"))[1].body == BIG
+            assert read_response(other.makefile("rb"))[1].body == BIG
         conn.settimeout(20.0)
-        code, answer = read_answer(conn.makefile("rb"))
+        code, answer = read_response(conn.makefile("rb"))
         assert (code, answer.body) == (200, BIG)
         for other in others:
             other.close()
@@ -140,7 +140,7 @@
         for conn, message in zip(partial_clients, messages, strict=True):
             with contextlib.suppress(OSError):
                 conn.sendall(message[-1:])
-            code, answer = read_answer(conn.makefile("rb"))
+            code, answer = read_response(conn.makefile("rb"))
             assert code == 200 and answer.body in message or code in (408, 503)
             error_responses += code != 200
             conn.close()
--- a/tests/test_descriptor_audit.py
+++ b/tests/test_descriptor_audit.py
@@ -21,11 +21,11 @@
     """Return a pool harness that is checked and closed after the test."""
     made = PoolHarness()
     yield made
-    made.end()
+    made.close()
 
 
 def test_missing_and_leaked_descriptors_are_found_and_repaired(harness: PoolHarness) -> None:
-    connection = harness.connection()
+    connection = harness.establish_connection()
     assert isinstance(connection.handler, RecordingHandler)
     recording_handler = connection.handler
     os.close(connection.fd)  # without notice to the connection that owns it
@@ -49,7 +49,7 @@
 def test_connection_omitted_from_the_descriptor_list_is_not_missing(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    connections = [harness.connection() for _ in range(3)]
+    connections = [harness.establish_connection() for _ in range(3)]
     # An empty list.
     monkeypatch.setattr("indigokeel.net.upstream.descriptor_audit._DESCRIPTOR_DIRECTORY", str(tmp_path))
     assert harness.run(harness.audit.run_audit) == []
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,24 +29,24 @@
     entry,
     ok,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     running,
     until,
 )
 
 BIG = bytes(range(256)) * 256  # 64 KiB
-HEALTH = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
+HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class Held(Peer):
-    """An upstream that sends no response until the event ``let`` is set."""
+class HeldUpstream(Peer):
+    """An upstream that sends no response until the event ``release`` is set."""
 
     def __init__(self, script: Callable[[Message], bytes] = echo) -> None:
-        self.let = threading.Event()
+        self.release = threading.Event()
 
         def wait(message: Message) -> bytes:
-            self.let.wait(WAIT)
+            self.release.wait(WAIT)
             return script(message)
 
         super().__init__(wait)
@@ -80,16 +80,19 @@
 def test_last_response_arrives_complete_despite_unread_bytes(tmp_path: Path, unread: bytes) -> None:
     """Closing a socket that has unread bytes resets the connection, and the response is lost. Here the bytes
     arrive before the upstream responds."""
-    with running(tmp_path, Held(lambda _: ok(BIG))) as (program, (upstream,), _), program.connect() as conn:
+    with (
+        running(tmp_path, HeldUpstream(lambda _: ok(BIG))) as (program, (upstream,), _),
+        program.connect() as conn,
+    ):
         conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
         until(lambda: len(upstream.got) == 1)
         sender = threading.Thread(target=conn.sendall, args=(unread,))
         sender.start()
         sender.join(WAIT)
         program.counters()
-        upstream.let.set()  # type: ignore[attr-defined]
+        upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
-        code, answer = read_answer(file)
+        code, answer = read_response(file)
         assert (code, answer.body) == (200, BIG) and answer.headers["connection"] == "close"
         assert file.read() == b"" and len(upstream.got) == 1
         until(lambda: program.counters()["client_connections_open"] == 1)  # only this client's
@@ -101,7 +104,7 @@
         with program.connect() as conn:
             conn.sendall(b"garbage\r\n\r\n" + b"x" * size)
             file = conn.makefile("rb")
-            assert read_answer(file)[0] == 400 and file.read() == b""
+            assert read_response(file)[0] == 400 and file.read() == b""
         assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
 
@@ -134,7 +137,7 @@
     with running(tmp_path, echo) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request())
         file = conn.makefile("rb")
-        assert read_answer(file)[0] == 200
+        assert read_response(file)[0] == 200
         program.process.send_signal(signal.SIGTERM)
         assert file.read() == b""
         with contextlib.suppress(OSError):
@@ -154,11 +157,11 @@
     conn.shutdown(socket.SHUT_WR)
 
 
-LEAVING = [socket.socket.close, close_with_reset, _half_close]
+DISCONNECTS = [socket.socket.close, close_with_reset, _half_close]
 LONG_BODY = b"y" * 90_000  # fits into the socket buffers, so that the client's close can be detected after it
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", DISCONNECTS)
 @pytest.mark.parametrize(
     "pipelined",
     [
@@ -173,7 +176,7 @@
     tmp_path: Path, pipelined: bytes, leave: Callable[[socket.socket], None]
 ) -> None:
     """While reading is paused, the event loop does not report that a client has closed its connection."""
-    with running(tmp_path, Held()) as (program, (upstream,), _):
+    with running(tmp_path, HeldUpstream()) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"1"))
         until(lambda: len(upstream.got) == 1)
@@ -187,7 +190,7 @@
         sender.join(0.3)  # a long request blocks here, as none of it is read
         leave(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        upstream.let.set()  # type: ignore[attr-defined]
+        upstream.release.set()  # type: ignore[attr-defined]
         sender.join(WAIT)
         assert program.ask(request("pay", b"3"))[1].body == b"3"
         assert [message.body for message in upstream.got] == [b"1", b"3"]
@@ -196,7 +199,7 @@
         conn.close()
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", DISCONNECTS)
 def test_requests_whose_clients_disconnect_in_a_burst_are_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
@@ -204,7 +207,7 @@
     with running(tmp_path, echo, sockets=1024) as (program, (upstream,), discovery):
         until(lambda: bool(discovery.watches))
         discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
-        until(lambda: program.ask(HEALTH)[0] == 503)
+        until(lambda: program.ask(HEALTH_REQUEST)[0] == 503)
         conns = [program.connect() for _ in range(200)]
         for conn in conns:
             conn.sendall(request(wait_ms=60_000))
@@ -237,7 +240,7 @@
         yield listener, accept
 
 
-@pytest.mark.parametrize("leave", LEAVING)
+@pytest.mark.parametrize("leave", DISCONNECTS)
 def test_request_whose_client_disconnected_during_the_connect_is_not_forwarded(
     tmp_path: Path, leave: Callable[[socket.socket], None]
 ) -> None:
@@ -292,7 +295,7 @@
             program.process.wait(1.2)
         file = conn.makefile("rb")
         for _ in range(8 * rounds):
-            assert read_answer(file)[1].body == BIG
+            assert read_response(file)[1].body == BIG
         assert file.read() == b"" and program.process.wait(WAIT) == 0
 
 
@@ -302,7 +305,7 @@
 ) -> None:
     """SIGKILL follows SIGTERM after 3.7 s (3 s and a margin of 0.7 s) where the longest deadline exceeds 3 s.
     A request with a timeout of a minute is answered before that, whether its attempt hangs or it has none."""
-    with running(tmp_path, Held(), settings=settings_with_deadlines(pay=60.0)) as (
+    with running(tmp_path, HeldUpstream(), settings=settings_with_deadlines(pay=60.0)) as (
         program,
         (upstream,),
         discovery,
@@ -310,14 +313,14 @@
         if not has_attempt:
             until(lambda: bool(discovery.watches))
             discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
-            until(lambda: program.ask(HEALTH)[0] == 503)
+            until(lambda: program.ask(HEALTH_REQUEST)[0] == 503)
         with program.connect() as conn:
             conn.sendall(request("pay", b"1", wait_ms=60_000))
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
             until(lambda: len(upstream.got) == int(has_attempt))
             program.process.send_signal(signal.SIGTERM)
             file = conn.makefile("rb")
-            code, answer = read_answer(file)
+            code, answer = read_response(file)
             assert code == (500 if has_attempt else 503) and answer.headers["connection"] == "close"
             assert file.read() == b"" and program.process.wait(WAIT) == 0
             assert program.last_counters()["requests_unanswered"] == 0
@@ -340,7 +343,7 @@
                 body = b"%d-%d" % (number, turn)
                 try:
                     conn.sendall(request("pay", body))
-                    code, answer = read_answer(file)
+                    code, answer = read_response(file)
                 except OSError:  # closed between two requests
                     break
                 if code == 200 and answer.body == body:
@@ -368,15 +371,15 @@
 
 
 def test_second_sigterm_changes_nothing(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+    with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(request("pay", b"1"))
         until(lambda: len(upstream.got) == 1)
         for _ in range(3):
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
         until(lambda: "stopping" in program.log.read_text())
-        upstream.let.set()  # type: ignore[attr-defined]
-        assert read_answer(conn.makefile("rb"))[1].body == b"1"
+        upstream.release.set()  # type: ignore[attr-defined]
+        assert read_response(conn.makefile("rb"))[1].body == b"1"
         assert program.process.wait(WAIT) == 0
 
 
@@ -392,7 +395,7 @@
             conn.sendall(request(wait_ms=1000))
             _await_accepted(program, 1)
             program.process.send_signal(signal.SIGTERM)
-            assert read_answer(conn.makefile("rb"))[0] in (200, 503)
+            assert read_response(conn.makefile("rb"))[0] in (200, 503)
             assert program.process.wait(WAIT) == 0
         agent.let.set()
 
@@ -440,6 +443,6 @@
             await served
 
         asyncio.run(serve())
-        code, answer = read_answer(conn.makefile("rb"))
+        code, answer = read_response(conn.makefile("rb"))
         assert sent == 1 and (code, answer.body) == (200, b"last")
     upstream.close()
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -38,7 +38,7 @@
     """Return a pool harness that is checked and closed after the test."""
     pool_harness = PoolHarness()
     yield pool_harness
-    pool_harness.end()
+    pool_harness.close()
 
 
 LOCAL, UPSTREAM, NO_FAILURE = ErrorCategory.LOCAL, ErrorCategory.UPSTREAM, ErrorCategory.NO_FAILURE
@@ -125,10 +125,10 @@
     break_connect(step, number, 6, monkeypatch)
     for _ in range(6):
         harness.acquire()
-        harness.until(lambda: not harness.pool.waiter_count())
+        harness.run_until(lambda: not harness.pool.waiter_count())
         harness.step(2)
     monkeypatch.undo()
-    connected = sum(isinstance(connection, UpstreamConnection) for connection in harness.ready)
+    connected = sum(isinstance(connection, UpstreamConnection) for connection in harness.results)
     assert connected == (0 if expected is UPSTREAM else 6)
     assert harness.counts["circuit_breakers_opened"] == (expected is UPSTREAM)
     assert bool(harness.counts["connects_failed"]) == (expected is UPSTREAM)
@@ -142,19 +142,19 @@
     """No upstream counts as failed, even if a connect could start in the end but had no time left."""
     break_connect("connect", number, 10**6, monkeypatch)
     harness.acquire(timeout_s=0.03)
-    harness.until(lambda: harness.ready == [ConnectFailure.LOCAL])
+    harness.run_until(lambda: harness.results == [ConnectFailure.LOCAL])
     monkeypatch.undo()
     break_connect("connect", number, 2, monkeypatch)
     harness.acquire("silent", 0.1)
-    harness.until(lambda: len(harness.ready) == 2)
-    assert harness.ready[1] is ConnectFailure.LOCAL and not harness.counts["connects_failed"]
+    harness.run_until(lambda: len(harness.results) == 2)
+    assert harness.results[1] is ConnectFailure.LOCAL and not harness.counts["connects_failed"]
 
 
 @pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN])
 def test_bytes_are_complete_and_in_order_after_failed_calls(
     harness: PoolHarness, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.accept()
     peer, echo, received_data = harness.accepted[0], connection.handler, bytearray()
     assert isinstance(echo, RecordingHandler)
@@ -169,7 +169,7 @@
     assert received_data == b"".join(pieces) and not connection.has_unsent_data()
     monkeypatch.setattr(socket.socket, "recv", failing_call(socket.socket.recv, number, 5))
     peer.send(b"heard")
-    harness.until(lambda: echo.received == b"heard")
+    harness.run_until(lambda: echo.received == b"heard")
     assert echo.closed_calls == 0 and not harness.counts["connection_faults"]
 
 
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -21,7 +21,7 @@
 from indigokeel.requests.effects import Request
 from tests import peers
 from tests.peers import SETTINGS, Message, echo, entry, ok, request, running, until
-from tests.test_endings import Held
+from tests.test_endings import HeldUpstream
 
 
 def make_coordinator(port: int) -> RequestCoordinator:
@@ -152,7 +152,7 @@
 
 def test_health_check_in_progress_while_its_upstream_drains_and_goes_fails_no_request(tmp_path: Path) -> None:
     """One of two upstreams answers neither health checks nor requests while it drains and becomes Gone."""
-    silent, other = Held(ReportingUpstream(b"inflight=0")), ReportingUpstream(b"inflight=0")
+    silent, other = HeldUpstream(ReportingUpstream(b"inflight=0")), ReportingUpstream(b"inflight=0")
     with running(tmp_path, silent, other, settings=HEALTH_CHECKED) as (program, _, discovery):
         until(lambda: bool(discovery.watches))
         conns = [program.connect() for _ in range(8)]
@@ -167,7 +167,7 @@
                 assert program.ask(request("pay", b"%d" % number))[1].body == b"%d" % number
             # The silent upstream has received nothing but health checks and requests sent before the drain.
             assert {message.body for message in silent.got} <= {b"", b"x"}
-        silent.let.set()
+        silent.release.set()
         until(lambda: program.counters()["requests_unanswered"] == 0)
         assert program.counters().get("task_faults", 0) == 0
         for conn in conns:
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -31,7 +31,7 @@
     free_port,
     operators,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     running,
     until,
@@ -71,7 +71,7 @@
         with socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT) as conn:
             conn.sendall(raw)
             file = conn.makefile("rb")
-            assert read_answer(file)[0] == code and file.read() == b""
+            assert read_response(file)[0] == code and file.read() == b""
         assert program.ask(request())[0] == 200
 
 
@@ -328,7 +328,7 @@
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
         release.set()
-        assert read_answer(conn.makefile("rb"))[0] == 200  # still safe, so it is retried
+        assert read_response(conn.makefile("rb"))[0] == 200  # still safe, so it is retried
         assert program.ask(request("view"))[0] == 400
         assert program.counters()["balancer_faults"] == 0
 
@@ -349,4 +349,4 @@
         release.set()
         time.sleep(1.0)  # longer than the class's latency objective
         program.process.send_signal(signal.SIGCONT)
-        assert read_answer(conn.makefile("rb"))[0] == 200
+        assert read_response(conn.makefile("rb"))[0] == 200
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -24,8 +24,8 @@
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.requests.effects import FinalStatus, Request
-from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_answer, request, running, until
-from tests.test_endings import HEALTH, Held
+from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_response, request, running, until
+from tests.test_endings import HEALTH_REQUEST, HeldUpstream
 from tests.test_net import OverloadedHandler
 
 LONG_BODY = b"z" * 150_000
@@ -42,7 +42,7 @@
     """Read all responses up to the end of the stream; return their status codes."""
     file, codes = conn.makefile("rb"), []
     while file.peek(1):
-        codes.append(read_answer(file)[0])
+        codes.append(read_response(file)[0])
     return codes
 
 
@@ -52,7 +52,7 @@
         (request("pay", b"x") * 0, []),
         (b"".join(request("pay", b"x") for _ in range(10)), [200] * 10),
         (b"".join(request("pay", b"x") for _ in range(200)), [200] * 200),
-        (HEALTH * 5000, [200] * 5000),
+        (HEALTH_REQUEST * 5000, [200] * 5000),
         (b"GET / HTTP/1.1\r\n\r\n" * 1000, [400] * 1000),
         (request("odd", b"x") * 3, [400] * 3),
         (without_header(b"Request-Id", PAY), [400]),
@@ -63,7 +63,7 @@
         (PAY.replace(b"/pay", b"/view"), [404]),
         (request("odd", LONG_BODY), [400]),
         (INVALID_CHUNKED_HEAD + b"9000\r\n" + b"x" * 0x9000 + b"\r\n0\r\n\r\n", [400]),
-        (HEALTH.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG_BODY, [413]),
+        (HEALTH_REQUEST.replace(b"\r\n\r\n", b"\r\nContent-Length: 150000\r\n\r\n") + LONG_BODY, [413]),
         (request("odd") + request("pay", LONG_BODY) + request("odd"), [400, 200, 400]),
     ],
 )
@@ -75,7 +75,7 @@
         conn.sendall(PAY + between + request("pay", b"last", more="Connection: close\r\n"))
         assert read_status_codes(conn) == [200, *codes, 200]
         assert (upstream.got[0].body, upstream.got[-1].body) == (b"one", b"last")
-        assert len(upstream.got) == 2 + codes.count(200) * (between[:9] != HEALTH[:9])
+        assert len(upstream.got) == 2 + codes.count(200) * (between[:9] != HEALTH_REQUEST[:9])
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
         conn.sendall(INVALID_CHUNKED_HEAD)
         file = conn.makefile("rb")
-        assert read_answer(file)[0] == 400  # before its body has arrived
+        assert read_response(file)[0] == 400  # before its body has arrived
         conn.sendall(b"zz\r\n" + PAY)
         assert file.read() == b""
 
@@ -114,7 +114,7 @@
         head = request("pay", wait_ms=500, more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         conn.sendall(head + b"20000\r\n" + b"x" * 0x20000 + b"\r\n")
         file = conn.makefile("rb")
-        assert read_answer(file)[0] == 503  # there is no upstream
+        assert read_response(file)[0] == 503  # there is no upstream
         conn.sendall(b"zz\r\n")
         assert file.read() == b""
 
@@ -123,13 +123,13 @@
     with running(tmp_path, echo) as (program, _, _d), program.connect() as conn:
         conn.sendall(request("view").replace(b"GET", b"HEAD") + PAY)
         file = conn.makefile("rb")
-        code, answer = read_answer(file)
+        code, answer = read_response(file)
         assert (code, answer.headers["content-length"]) == (405, "0")
-        assert read_answer(file)[1].body == b"one"
+        assert read_response(file)[1].body == b"one"
 
 
 def test_duplicate_request_id_is_rejected_in_order(tmp_path: Path) -> None:
-    held, quick = Held(), Peer(echo)
+    held, quick = HeldUpstream(), Peer(echo)
     # The request id of PAY, with a long body.
     same = PAY.replace(b"one", LONG_BODY).replace(b"Length: 3", b"Length: %d" % len(LONG_BODY))
     with (
@@ -143,9 +143,9 @@
         until(lambda: program.counters().get("endpoint_lists") == 1)
         conn.sendall(request("pay", b"2") + PAY + request("pay", b"3") + same + request("pay", b"4"))
         file = conn.makefile("rb")
-        assert [read_answer(file)[0] for _ in range(5)] == [200, 409, 200, 409, 200]
-        held.let.set()
-        assert read_answer(other.makefile("rb"))[1].body == b"one"
+        assert [read_response(file)[0] for _ in range(5)] == [200, 409, 200, 409, 200]
+        held.release.set()
+        assert read_response(other.makefile("rb"))[1].body == b"one"
     quick.close()
 
 
@@ -153,53 +153,58 @@
     """Reading resumes, because the body need not be streamed any more."""
     chunks = b"".join(b"%x\r\n%s\r\n" % (9000, b"x" * 9000) for _ in range(9)) + b"0\r\n\r\n"
     long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + chunks
-    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+    with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + long)
         until(lambda: len(upstream.got) == 1)
         program.counters()
-        upstream.let.set()  # type: ignore[attr-defined]
+        upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
-        assert read_answer(file)[0] == read_answer(file)[0] == 200
+        assert read_response(file)[0] == read_response(file)[0] == 200
         conn.sendall(LAST)
-        assert read_answer(file)[1].body == b"last"
+        assert read_response(file)[1].body == b"last"
 
 
 def test_continue_is_sent_in_order_behind_another_request(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+    with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
         until(lambda: len(upstream.got) == 1)
         program.counters()
-        upstream.let.set()  # type: ignore[attr-defined]
+        upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
-        assert read_answer(file)[1].body == b"one" and file.readline().startswith(b"HTTP/1.1 100")
+        assert read_response(file)[1].body == b"one" and file.readline().startswith(b"HTTP/1.1 100")
         assert file.readline() == b"\r\n"
         conn.sendall(b"late")
-        assert read_answer(file)[1].body == b"late"
+        assert read_response(file)[1].body == b"late"
 
 
 def test_requests_that_ran_out_of_time_behind_another_are_rejected_and_never_sent(tmp_path: Path) -> None:
     """Their budgets have been running since they arrived. If they were forwarded, their late responses would
     count against the upstreams."""
-    with running(tmp_path, Held(), Held()) as (program, upstreams, _), program.connect() as conn:
+    with (
+        running(tmp_path, HeldUpstream(), HeldUpstream()) as (program, upstreams, _),
+        program.connect() as conn,
+    ):
         ahead = b"".join(request("pay", b"x", wait_ms=300) for _ in range(20))
         conn.sendall(request("pay", b"first", wait_ms=1000) + ahead + LAST)
         file = conn.makefile("rb")
-        codes = [read_answer(file)[0] for _ in range(21)]
+        codes = [read_response(file)[0] for _ in range(21)]
         assert codes == [500] + [503] * 20
         until(lambda: sum(len(upstream.got) for upstream in upstreams) == 2)
         for upstream in upstreams:
-            upstream.let.set()  # type: ignore[attr-defined]
-        assert read_answer(file)[1].body == b"last"
+            upstream.release.set()  # type: ignore[attr-defined]
+        assert read_response(file)[1].body == b"last"
         counters = program.counters()
         assert (counters["requests_out_of_time"], counters["attempts_sent"]) == (20, 2)
         assert "shedding load" not in program.log.read_text()
 
 
 def test_requests_read_before_shutdown_get_their_responses(tmp_path: Path) -> None:
-    with running(tmp_path, Held()) as (program, (upstream,), _), program.connect() as conn:
+    with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.settimeout(WAIT)
         conn.sendall(
-            b"".join(request("pay", b"x", wait_ms=60_000) for _ in range(60)) + HEALTH + request("odd")
+            b"".join(request("pay", b"x", wait_ms=60_000) for _ in range(60))
+            + HEALTH_REQUEST
+            + request("odd")
         )
         until(lambda: len(upstream.got) == 1)
         program.process.send_signal(signal.SIGTERM)
@@ -290,7 +295,7 @@
 
     async def run_scenario() -> tuple[list[bytes], Counters]:
         _, client_socket, counters = await open_connection(handler)
-        client_socket.sendall(b"".join(raw_requests) + HEALTH)
+        client_socket.sendall(b"".join(raw_requests) + HEALTH_REQUEST)
         return await read_status_codes_to_end(client_socket), counters
 
     codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
@@ -298,7 +303,7 @@
     assert (counters["client_connection_faults"], len(handler.request_ids)) == (1, 2)
 
 
-@pytest.mark.parametrize("raw_request", [HEALTH, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
+@pytest.mark.parametrize("raw_request", [HEALTH_REQUEST, b"GET / HTTP/1.1\r\n\r\n", request("pay", b"x")])
 def test_read_ahead_is_limited_however_much_arrives_at_once(raw_request: bytes) -> None:
     async def run_scenario() -> tuple[int, bool]:
         connection, client_socket, _ = await open_connection(Handler(slow=True))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -34,7 +34,7 @@
     free_port,
     ok,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     running,
     start,
@@ -79,16 +79,16 @@
         chunked = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET ", b"POST ")
         file = conn.makefile("rb")
         conn.sendall(request("pay", b"one") + chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
-        assert read_answer(file)[1].body == b"one" and read_answer(file)[1].body == b"abc"
+        assert read_response(file)[1].body == b"one" and read_response(file)[1].body == b"abc"
         for byte in request("pay", b"xyz"):
             conn.sendall(bytes([byte]))
-        assert read_answer(file)[1].body == b"xyz"
+        assert read_response(file)[1].body == b"xyz"
         conn.sendall(request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
         assert file.readline().startswith(b"HTTP/1.1 100") and file.readline() == b"\r\n"
         conn.sendall(b"late")
-        assert read_answer(file)[1].body == b"late"
+        assert read_response(file)[1].body == b"late"
         conn.sendall(request(more="Connection: close\r\n"))
-        assert read_answer(file)[0] == 200 and file.read() == b""
+        assert read_response(file)[0] == 200 and file.read() == b""
         assert len(upstreams[0].got) == 5
 
 
@@ -110,7 +110,7 @@
         with program.connect() as conn:
             conn.sendall(sent)
             file = conn.makefile("rb")
-            assert read_answer(file)[0] == code and file.read() == b""
+            assert read_response(file)[0] == code and file.read() == b""
         assert program.ask(b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 400
         assert upstreams[0].got == [] and program.ask(request())[0] == 200
 
@@ -338,13 +338,13 @@
         worker = stack.enter_context(program.connect())
         file = worker.makefile("rb")
         worker.sendall(request())
-        assert read_answer(file)[0] == 200
+        assert read_response(file)[0] == 200
         crowd = [stack.enter_context(program.connect()) for _ in range(12)]
         for conn in crowd[8:]:
             conn.sendall(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
         assert crowd[0].recv(1) == b""
         worker.sendall(request())
-        assert read_answer(file)[0] == 200
+        assert read_response(file)[0] == 200
         assert program.counters()["client_connections_open"] <= 8
 
 
@@ -360,7 +360,7 @@
             conn.sendall(b"POST /pay/1 HTTP/1.1\r\nHost")
             time.sleep(0.12)
         slow.sendall(message[90:])
-        assert read_answer(slow.makefile("rb"))[0] == 200
+        assert read_response(slow.makefile("rb"))[0] == 200
         assert program.counters()["clients_evicted"] >= 1
 
 
@@ -398,7 +398,7 @@
         for _ in range(16):
             file = stack.enter_context(program.connect())
             file.sendall(request())
-            ended.append(read_answer(file.makefile("rb"))[1].headers.get("connection") == "close")
+            ended.append(read_response(file.makefile("rb"))[1].headers.get("connection") == "close")
         assert ended == [False] * 10 + [True] * 6
 
 
@@ -420,7 +420,7 @@
         # The idle connection is closed once no new request is accepted; the one with a request stays open.
         assert idle.recv(1) == b""
         respond.set()
-        code, answer = read_answer(conn.makefile("rb"))
+        code, answer = read_response(conn.makefile("rb"))
         assert (code, answer.body, answer.headers["connection"]) == (200, b"x", "close")
         assert program.process.wait(WAIT) == 0
         counters = program.last_counters()
@@ -455,7 +455,7 @@
             with program.connect() as conn, conn.makefile("rb") as file:
                 for _ in range(20):
                     conn.sendall(request(wait_ms=200))
-                    code, message = read_answer(file)
+                    code, message = read_response(file)
                     if code == 503 and program.counters().get("requests_shed_early", 0):
                         return message.headers["retry-after"] == "0.250"
             return False
@@ -476,7 +476,7 @@
     ):
         for _ in range(400):
             conn.sendall(request())
-            assert read_answer(file)[0] == 200
+            assert read_response(file)[0] == 200
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP])
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,7 +22,7 @@
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import ShutdownTimes
 from indigokeel.requests.coordinator import RequestCoordinator
-from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_answer, request, running, until
+from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_response, request, running, until
 from tests.test_supervision import Fault, RunningSidecar
 
 STARVED_S = 0.05  # a run in which the machine itself paused for this long proves nothing
@@ -78,7 +78,7 @@
         file = self.conn.makefile("rb")
         try:
             while file.peek(1):
-                read_answer(file)
+                read_response(file)
                 self.answers += 1
         except ConnectionResetError:
             return
@@ -198,7 +198,7 @@
             while not running.sidecar.closing:
                 await asyncio.sleep(0.001)
             conn.sendall(first[-1:])
-            code, answer = await asyncio.to_thread(read_answer, conn.makefile("rb"))
+            code, answer = await asyncio.to_thread(read_response, conn.makefile("rb"))
             assert code == 503 and answer.headers["connection"] == "close"
             assert running.upstream.got == []
 
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -37,7 +37,7 @@
     entry,
     free_port,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
 )
 
@@ -121,7 +121,7 @@
     def ask(self, raw: bytes) -> int:
         with socket.create_connection(self.listener.getsockname(), timeout=WAIT) as conn:
             conn.sendall(raw)
-            return read_answer(conn.makefile("rb"))[0]
+            return read_response(conn.makefile("rb"))[0]
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.peers import WAIT, Message, Peer, Program, Raw, echo, ok, read_answer, request, running, until
+from tests.peers import WAIT, Message, Peer, Program, Raw, echo, ok, read_response, request, running, until
 from tests.test_shutdown import STARVED_S, Witness, deadlines
 
 DEADLINE_S = 0.5
@@ -58,7 +58,7 @@
         sent_at = time.monotonic()
         try:
             conn.sendall(message)
-            code, answer = read_answer(file)
+            code, answer = read_response(file)
         except TimeoutError:
             self.violations.append(f"{name}: no answer")
             return False
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -29,7 +29,7 @@
     long_answer,
     operators,
     parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     rss,
     running,
@@ -82,7 +82,7 @@
                         file = conn.makefile("rb")
                     number = next(numbers)
                     conn.sendall(request("pay", b"%d" % number))
-                    code, answer = read_answer(file)
+                    code, answer = read_response(file)
                     # A sidecar on an overloaded machine may reject a request, which then must not have run.
                     refused = code == 503 and "retry-after" in answer.headers
                     if not refused and (code, answer.body) != (200, b"%d" % number):
@@ -147,7 +147,7 @@
                     barrier.wait(WAIT)
                 with socket.create_connection(address, timeout=WAIT) as conn:
                     conn.sendall(request())
-                    code, answer = read_answer(conn.makefile("rb"))
+                    code, answer = read_response(conn.makefile("rb"))
                     if code != 200 and "retry-after" not in answer.headers:
                         wrong.append((code, answer))
 
@@ -205,7 +205,7 @@
             conn.sendall(raw[-6:])
             other.sendall(request())  # on a connection that was idle when the signal came
             for each in (conn, other):
-                code, answer = read_answer(each.makefile("rb"))
+                code, answer = read_response(each.makefile("rb"))
                 assert (code, answer.headers["connection"]) == (200, "close")
         assert old.process.wait(WAIT) == 0
 
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -18,7 +18,7 @@
 from tests import peers
 
 
-def coordinator_of(port: int) -> RequestCoordinator:
+def make_coordinator(port: int) -> RequestCoordinator:
     """Return a coordinator whose only upstream, s-0, listens on a port."""
     coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
     entry = peers.entry("s-0", port)
@@ -33,7 +33,7 @@
     async def cancel_attempts() -> int:
         server = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        coordinator = coordinator_of(port)
+        coordinator = make_coordinator(port)
         client = UpstreamClient(coordinator, Counters("t"), UpstreamClientOptions(0.25, 30.0, 64))
         outbound = OutboundRequest(b"GET", b"/view/k", b"1", None, [], False)
         for number in range(60):
@@ -79,7 +79,7 @@
     Return the responses, the counters and the number of open connections.
     """
     server = await asyncio.start_server(LateUpstream(late).serve, "127.0.0.1", 0)
-    coordinator = coordinator_of(server.sockets[0].getsockname()[1])
+    coordinator = make_coordinator(server.sockets[0].getsockname()[1])
     counters = Counters("t")
     client = UpstreamClient(coordinator, counters, UpstreamClientOptions(5.0, 30.0, 64))
     responses: list[UpstreamResponse] = []
--- a/tests/test_upstream_connection.py
+++ b/tests/test_upstream_connection.py
@@ -16,23 +16,23 @@
     """Return a pool harness that is checked and closed after the test."""
     made = PoolHarness()
     yield made
-    made.end()
+    made.close()
 
 
 def test_reset_by_the_peer_removes_the_connection(harness: PoolHarness) -> None:
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.accept()
     handler = connection.handler
     assert isinstance(handler, RecordingHandler) and connection.write([b"a request"])
     harness.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     harness.accepted.pop().close()
-    harness.until(lambda: handler.closed_calls == 1)
+    harness.run_until(lambda: handler.closed_calls == 1)
     harness.check_table()
     assert len(harness.pool.table) == 0
 
 
 def test_reset_before_the_end_of_a_write_reports_unsent_data(harness: PoolHarness) -> None:
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.accept()
     reported: list[bool] = []
     assert isinstance(connection.handler, RecordingHandler)
@@ -40,12 +40,12 @@
     assert connection.write([b"x" * 60_000] * 400) and connection.has_unsent_data()
     harness.accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     harness.accepted.pop().close()
-    harness.until(lambda: bool(reported))
+    harness.run_until(lambda: bool(reported))
     assert reported == [True]
 
 
 def test_large_message_arrives_complete_and_in_order(harness: PoolHarness) -> None:
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.accept()
     chunks = [bytes([i % 251]) * 30_000 for i in range(200)]
     assert connection.write(chunks[:150]) and connection.write(chunks[150:])
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("size", [100, 100_000])
 def test_reset_after_received_data_is_reported(harness: PoolHarness, size: int) -> None:
     """uvloop reports the data and the reset that follows it as one event."""
-    connection = harness.connection()
+    connection = harness.establish_connection()
     harness.accept()
     assert isinstance(connection.handler, RecordingHandler)
     handler = connection.handler
@@ -70,5 +70,5 @@
     peer.sendall(b"x" * size)
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     peer.close()
-    harness.until(lambda: handler.closed_calls == 1)
+    harness.run_until(lambda: handler.closed_calls == 1)
     assert handler.received == b"x" * len(handler.received) and len(harness.pool.table) == 0
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -294,7 +294,7 @@
             agent.let.set()
             drained = entry("s-0", upstreams[0].port, "Terminating")
             agent.push(json.dumps(parse_endpoint_list(drained, index=2, whole=False)).encode())
-            assert peers.read_answer(conn.makefile("rb"))[1].body == b"1"
+            assert peers.read_response(conn.makefile("rb"))[1].body == b"1"
         assert upstreams[0].got == [] and program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200
 
 
