--- a/tests/peers.py
+++ b/tests/peers.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT = 20.0  # timeout in s of every wait; only a failing test waits this long
+TIMEOUT_S = 20.0  # timeout in s of every wait; only a failing test waits this long
 
 CLASSES = [
     {"name": "pay", "objective-s": 0.6, "deadline-s": 1.2, "effect": "unsafe", "importance": 2.0},
@@ -51,7 +51,7 @@
 
 def until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds; fail after the timeout."""
-    end = time.monotonic() + WAIT
+    end = time.monotonic() + TIMEOUT_S
     while not condition():
         assert time.monotonic() < end, "timed out waiting for a condition"
         time.sleep(0.005)
@@ -104,9 +104,9 @@
 
     def __init__(self, script: Callable[[Message], bytes | None]) -> None:
         self.script = script
-        self.got: list[Message] = []
-        self.answered = 0  # messages whose response has been sent
-        self.closed = 0  # connections closed by this peer
+        self.received: list[Message] = []
+        self.responses_sent = 0  # messages whose response has been sent
+        self.connections_closed = 0  # connections closed by this peer
         self._server = socket.create_server(("127.0.0.1", 0))
         self.port = self._server.getsockname()[1]
         self._acceptor = threading.Thread(target=self._accept, daemon=True)
@@ -121,15 +121,15 @@
     def _serve_connection(self, conn: socket.socket) -> None:
         with contextlib.suppress(OSError), conn, conn.makefile("rb") as file:
             while (message := read_message(file)) is not None:
-                self.got.append(message)
+                self.received.append(message)
                 answer = self.script(message)
                 if answer is None:
                     break
                 conn.sendall(answer.removeprefix(b"!"))
-                self.answered += 1
+                self.responses_sent += 1
                 if answer.startswith(b"!"):
                     break
-        self.closed += 1
+        self.connections_closed += 1
 
     def close(self) -> None:
         """Stop accepting, wait for the thread, then close the socket.
@@ -139,12 +139,12 @@
         """
         with contextlib.suppress(OSError):
             self._server.shutdown(socket.SHUT_RDWR)
-        self._acceptor.join(WAIT)
+        self._acceptor.join(TIMEOUT_S)
         assert not self._acceptor.is_alive()
         self._server.close()
 
 
-class Raw(Peer):
+class RawUpstream(Peer):
     """An upstream whose ``exchange`` uses the connection directly, for long bodies in any framing."""
 
     def __init__(self, exchange: Callable[[socket.socket, Any], None]) -> None:
@@ -156,19 +156,19 @@
             self.exchange(conn, file)
 
 
-SIZE, BLOCK = 32 << 20, os.urandom(1 << 20)
+LONG_RESPONSE_SIZE, LONG_RESPONSE_BLOCK = 32 << 20, os.urandom(1 << 20)
 
 
-def long_answer(conn: socket.socket, file: Any) -> None:
-    """Read a request's head and send a response of 32 MiB that repeats one block (for ``Raw``)."""
+def send_long_response(conn: socket.socket, file: Any) -> None:
+    """Read a request's head and send a response of 32 MiB that repeats one block (for ``RawUpstream``)."""
     while file.readline().strip():
         pass
-    conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % SIZE)
-    for _ in range(SIZE // len(BLOCK)):
-        conn.sendall(BLOCK)
+    conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG_RESPONSE_SIZE)
+    for _ in range(LONG_RESPONSE_SIZE // len(LONG_RESPONSE_BLOCK)):
+        conn.sendall(LONG_RESPONSE_BLOCK)
 
 
-class DiscoveryClient(Peer):
+class DiscoveryServer(Peer):
     """A discovery server: keeps each watch open, and sends pushed lines on the latest one."""
 
     def __init__(self) -> None:
@@ -180,7 +180,7 @@
             message = read_message(conn.makefile("rb"))
             assert message is not None
             conn.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.got.append(message)
+            self.received.append(message)
             self.watches.append(conn)
 
     def push(self, line: bytes) -> None:
@@ -203,8 +203,8 @@
     }
 
 
-def parse_endpoint_list(*entries: dict[str, Any], index: int = 1, whole: bool = True) -> dict[str, Any]:
-    return {"index": index, "snapshot": whole, "endpoints": list(entries)}
+def make_endpoint_list(*entries: dict[str, Any], index: int = 1, snapshot: bool = True) -> dict[str, Any]:
+    return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
 _numbers = iter(range(10**9))
@@ -212,7 +212,7 @@
 
 # Loopback addresses on which the program listens, derived from the id of this process. No other program and
 # no other test run uses them, so a port that is found free there is still free when the program starts.
-OPERATORS, CLIENTS = (f"127.{n}.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}" for n in (9, 10))
+ADMIN_HOST, CLIENT_HOST = (f"127.{n}.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}" for n in (9, 10))
 
 
 def free_port(host: str) -> int:
@@ -220,9 +220,9 @@
         return int(server.getsockname()[1])
 
 
-def operators(tmp: Path) -> dict[str, Any]:
+def admin_environment(tmp: Path) -> dict[str, Any]:
     """Return environment variables: an admin address, and the folder that successive processes share."""
-    return {"BALANCER_MGMT": f"{OPERATORS}:{free_port(OPERATORS)}", "TMPDIR": str(tmp)}
+    return {"BALANCER_MGMT": f"{ADMIN_HOST}:{free_port(ADMIN_HOST)}", "TMPDIR": str(tmp)}
 
 
 def start(
@@ -247,7 +247,7 @@
     )
 
 
-def configuration(
+def make_configuration(
     listen: tuple[str, int],
     discovery: int,
     sockets: int,
@@ -291,23 +291,23 @@
 
         ``listener`` is the platform's, inherited as descriptor 7; ``more`` is added to the environment.
         """
-        self.address = listener.getsockname() if listener else (CLIENTS, free_port(CLIENTS))
+        self.address = listener.getsockname() if listener else (CLIENT_HOST, free_port(CLIENT_HOST))
         self.mgmt = int(more.get("BALANCER_MGMT", ":0").rpartition(":")[2])
         config = self.config = tmp / "config.json"
-        config.write_text(json.dumps(configuration(self.address, discovery, sockets, known, settings)))
+        config.write_text(json.dumps(make_configuration(self.address, discovery, sockets, known, settings)))
         self.log = tmp / f"log-{next(_numbers)}"
         self.process = start(config, self.log.open("wb"), listener, **more)
         if not wait:
             return
         if self.mgmt:
-            until(lambda: self.process.poll() is not None or self.call("GET", "health") == 200)
+            until(lambda: self.process.poll() is not None or self.call_admin("GET", "health") == 200)
         else:
             until(lambda: self.process.poll() is not None or self.ready())
 
-    def call(self, method: str, what: str, who: str = "") -> int:
+    def call_admin(self, method: str, what: str, who: str = "") -> int:
         """Call the admin address; return the status, or 0 if nobody listens there."""
         try:
-            with socket.create_connection((OPERATORS, self.mgmt), timeout=WAIT) as conn:
+            with socket.create_connection((ADMIN_HOST, self.mgmt), timeout=TIMEOUT_S) as conn:
                 conn.sendall(admin_call(method, what, who))
                 return read_response(conn.makefile("rb"))[0]
         except ConnectionError:
@@ -315,20 +315,20 @@
 
     def ready(self) -> bool:
         try:
-            return self.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] in (200, 503)
+            return self.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] in (200, 503)
         except OSError:
             return False
 
     def connect(self) -> socket.socket:
-        return socket.create_connection(self.address, timeout=WAIT)
+        return socket.create_connection(self.address, timeout=TIMEOUT_S)
 
-    def ask(self, raw: bytes) -> tuple[int, Message]:
+    def exchange(self, raw: bytes) -> tuple[int, Message]:
         """Send bytes on a new connection and read one response."""
         with self.connect() as conn:
             conn.sendall(raw)
             return read_response(conn.makefile("rb"))
 
-    def logged(self, text: str, count: int) -> bool:
+    def has_logged(self, text: str, count: int) -> bool:
         """Return whether a text was logged exactly ``count`` times."""
         return self.log.read_text().count(text) == count
 
@@ -344,7 +344,7 @@
         return found
 
 
-def rss(program: Program) -> int:
+def program_rss_kb(program: Program) -> int:
     """Return the resident memory of the process in kB."""
     return rss_kb(program.process.pid)
 
@@ -380,13 +380,13 @@
     tmp: Path,
     *scripts: Callable[[Message], bytes | None] | Peer,
     sockets: int = 256,
-    discovery: DiscoveryClient | None = None,
+    discovery: DiscoveryServer | None = None,
     **more: Any,
-) -> Iterator[tuple[Program, list[Peer], DiscoveryClient]]:
+) -> Iterator[tuple[Program, list[Peer], DiscoveryServer]]:
     """Run the program with the upstreams s-0, s-1 ... of one replica group: peers, or scripts for them."""
     upstreams = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
-    discovery = discovery or DiscoveryClient()
-    known = parse_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+    discovery = discovery or DiscoveryServer()
+    known = make_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     program = Program(tmp, known, discovery.port, sockets, **more)
     try:
         yield program, upstreams, discovery
--- a/tests/soak/peers.py
+++ b/tests/soak/peers.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from tests.peers import entry, ok, parse_endpoint_list, request, status
+from tests.peers import entry, make_endpoint_list, ok, request, status
 from tests.soak.history import Answer, Arrival, ClientRequest, History
 from tests.soak.schedule import DiscoveryFault, UpstreamFault
 
@@ -103,7 +103,7 @@
         self.port = server.sockets[0].getsockname()[1]
 
     def whole_list(self) -> dict[str, Any]:
-        return parse_endpoint_list(*(each.entry() for each in self._upstreams), index=self._index)
+        return make_endpoint_list(*(each.entry() for each in self._upstreams), index=self._index)
 
     def watch_count(self) -> int:
         return len(self._watches)
@@ -123,7 +123,7 @@
     def publish(self, upstream: Upstream) -> None:
         """Send a changed endpoint to each watch."""
         self._index += 1
-        change = parse_endpoint_list(upstream.entry(), index=self._index, whole=False)
+        change = make_endpoint_list(upstream.entry(), index=self._index, snapshot=False)
         if self.fault is None:
             for watch in list(self._watches):
                 _write_line(watch, change)
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from tests import faulty_program
-from tests.peers import CLIENTS, OPERATORS, SETTINGS, admin_call, configuration, free_port, rss_kb
+from tests.peers import ADMIN_HOST, CLIENT_HOST, SETTINGS, admin_call, free_port, make_configuration, rss_kb
 from tests.soak.history import History, ProcessEnd, ProcessStart
 from tests.soak.schedule import Schedule
 
@@ -80,10 +80,10 @@
         self._processes: list[Process] = []  # in start order
         self._listener: socket.socket | None = None
         if schedule.shares_listener:
-            self._listener = socket.create_server((CLIENTS, 0), backlog=512)
+            self._listener = socket.create_server((CLIENT_HOST, 0), backlog=512)
             self.address = self._listener.getsockname()
         else:
-            self.address = (CLIENTS, free_port(CLIENTS))
+            self.address = (CLIENT_HOST, free_port(CLIENT_HOST))
 
     def kill_all(self) -> None:
         """Kill all processes that still run, and close the shared listener."""
@@ -100,11 +100,11 @@
     def start(self) -> Process:
         """Start a process."""
         name = f"p{len(self._processes)}"
-        admin_port = free_port(OPERATORS)
+        admin_port = free_port(ADMIN_HOST)
         config = self._folder / f"{name}.json"
         config.write_text(json.dumps(self._config()))
         faults = self._schedule.process_faults[len(self._processes) % len(self._schedule.process_faults)]
-        env = {"BALANCER_MGMT": f"{OPERATORS}:{admin_port}", "TMPDIR": str(self._folder), **faults}
+        env = {"BALANCER_MGMT": f"{ADMIN_HOST}:{admin_port}", "TMPDIR": str(self._folder), **faults}
         log = self._folder / f"{name}.log"
         start = ProcessStart(name, time.monotonic())
         with log.open("wb") as file:
@@ -121,7 +121,7 @@
             "keepalive-s": KEEPALIVE_S,
         }
         settings = {**SETTINGS, "limits": limits, "safety": SAFETY}
-        return configuration(self.address, self._discovery_port, SOCKETS, self._known_list(), settings)
+        return make_configuration(self.address, self._discovery_port, SOCKETS, self._known_list(), settings)
 
     async def start_ready(self) -> Process:
         """Start a process and wait until it serves or has ended."""
@@ -155,7 +155,7 @@
     async def call_admin(self, process: Process, method: str, what: str, who: str = "") -> int:
         """Call the admin address; return the status of the answer, or 0 if there is none."""
         try:
-            reader, writer = await asyncio.open_connection(OPERATORS, process.admin_port)
+            reader, writer = await asyncio.open_connection(ADMIN_HOST, process.admin_port)
             writer.write(admin_call(method, what, who))
             line = await reader.readline()
             writer.close()
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -162,7 +162,7 @@
 
 def test_clients_beyond_the_descriptor_limit_wait_until_one_is_free(tmp_path: Path) -> None:
     with running(tmp_path, echo) as (program, _, _d):
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         until(lambda: program.counters()["client_connections_open"] == 0)
         soft = max(map(int, os.listdir(f"/proc/{program.process.pid}/fd"))) + 4
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
@@ -174,12 +174,12 @@
 def test_silent_clients_that_hold_all_descriptors_are_evicted_for_one_that_waits(tmp_path: Path) -> None:
     """Otherwise each would stay for 2.2 s, and the waiting client would wait for seconds."""
     with running(tmp_path, echo) as (program, _, _d):
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         until(lambda: program.counters()["client_connections_open"] == 0)
         soft = max(map(int, os.listdir(f"/proc/{program.process.pid}/fd"))) + 4
         resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (soft, soft))
         with contextlib.ExitStack() as stack:
             for _ in range(10):
                 stack.enter_context(program.connect())
-            assert program.ask(HEALTH_REQUEST)[0] == 200
+            assert program.exchange(HEALTH_REQUEST)[0] == 200
             assert program.counters()["clients_evicted"] > 0
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,23 +15,23 @@
 import pytest
 
 from tests.peers import (
-    BLOCK,
-    SIZE,
-    WAIT,
-    DiscoveryClient,
+    LONG_RESPONSE_BLOCK,
+    LONG_RESPONSE_SIZE,
+    TIMEOUT_S,
+    DiscoveryServer,
     Message,
     Program,
-    Raw,
+    RawUpstream,
     echo,
     entry,
-    long_answer,
+    make_endpoint_list,
     ok,
-    parse_endpoint_list,
+    program_rss_kb,
     read_message,
     read_response,
     request,
-    rss,
     running,
+    send_long_response,
     until,
 )
 
@@ -70,7 +70,7 @@
 def test_short_response_that_ends_with_its_connection_is_complete(tmp_path: Path) -> None:
     answer = b"!HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end"
     with running(tmp_path, lambda _: answer) as (program, _, _d):
-        assert program.ask(request("pay", b"x"))[1].body == b"to the end"
+        assert program.exchange(request("pay", b"x"))[1].body == b"to the end"
 
 
 def test_truncated_long_response_is_visible_to_the_client_and_not_retried(tmp_path: Path) -> None:
@@ -80,13 +80,13 @@
             file = conn.makefile("rb")
             code, answer = read_response(file)
             assert code == 200 and len(answer.body) < int(answer.headers["content-length"]) == len(LONG_BODY)
-        assert len(upstreams[0].got) == 1 and program.counters()["answers_cut_off"] == 1
+        assert len(upstreams[0].received) == 1 and program.counters()["answers_cut_off"] == 1
 
 
 def test_32_mb_response_to_a_slow_reader_takes_little_memory(tmp_path: Path) -> None:
-    with running(tmp_path, Raw(long_answer)) as (program, _, _d):
+    with running(tmp_path, RawUpstream(send_long_response)) as (program, _, _d):
         assert program.counters()["requests_unanswered"] == 0
-        before, max_rss, got = rss(program), 0, 0
+        before, max_rss, got = program_rss_kb(program), 0, 0
         with program.connect() as conn:
             conn.sendall(request())
             file = conn.makefile("rb")
@@ -94,13 +94,13 @@
             while file.readline().strip():
                 pass
             time.sleep(0.3)  # the client reads nothing for a while, so that the rest waits at the upstream
-            while got < SIZE:
-                data = file.read(min(1 << 20, SIZE - got))
-                assert data and data == BLOCK[: len(data)]
+            while got < LONG_RESPONSE_SIZE:
+                data = file.read(min(1 << 20, LONG_RESPONSE_SIZE - got))
+                assert data and data == LONG_RESPONSE_BLOCK[: len(data)]
                 got += len(data)
-                max_rss = max(max_rss, rss(program))
+                max_rss = max(max_rss, program_rss_kb(program))
         until(lambda: program.counters()["upstream_connections_open"] <= 1)
-        assert max_rss - before < 4096 and rss(program) - before < 4096  # kB
+        assert max_rss - before < 4096 and program_rss_kb(program) - before < 4096  # kB
 
 
 def test_reset_after_the_last_byte_gives_a_complete_or_visibly_truncated_response(tmp_path: Path) -> None:
@@ -112,7 +112,7 @@
         conn.close()
         file.close()
 
-    with running(tmp_path, Raw(exchange)) as (program, _, _d):
+    with running(tmp_path, RawUpstream(exchange)) as (program, _, _d):
         truncated = 0
         for _ in range(5):
             with program.connect() as conn:
@@ -140,9 +140,9 @@
         file.close()
         process[0].send_signal(signal.SIGCONT)
 
-    with running(tmp_path, Raw(exchange)) as (program, _, _d):
+    with running(tmp_path, RawUpstream(exchange)) as (program, _, _d):
         process.append(program.process)
-        assert program.ask(request("pay", b"x"))[0] == 500
+        assert program.exchange(request("pay", b"x"))[0] == 500
         counters = program.counters()
         assert counters["attempt_broken"] == 1 and "attempt_cancelled" not in counters
 
@@ -160,11 +160,11 @@
         except OSError:
             ended.set()
 
-    with running(tmp_path, Raw(exchange)) as (program, _, _d):
+    with running(tmp_path, RawUpstream(exchange)) as (program, _, _d):
         with program.connect() as conn:
             conn.sendall(request())
             assert conn.recv(1000)
-        assert ended.wait(WAIT)
+        assert ended.wait(TIMEOUT_S)
         until(lambda: program.counters()["upstream_connections_open"] == 0)
 
 
@@ -175,10 +175,10 @@
         while file.readline().strip():
             pass
         conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LONG_BODY) + LONG_BODY[:100_000])
-        assert proceed.wait(WAIT)
+        assert proceed.wait(TIMEOUT_S)
         conn.sendall(LONG_BODY[100_000:])
 
-    with running(tmp_path, Raw(exchange)) as (program, _, _d), program.connect() as conn:
+    with running(tmp_path, RawUpstream(exchange)) as (program, _, _d), program.connect() as conn:
         conn.sendall(request())
         file = conn.makefile("rb")
         first = file.readline()
@@ -188,7 +188,7 @@
         while file.readline().strip():
             pass
         assert first.startswith(b"HTTP/1.1 200") and file.read(len(LONG_BODY)) == LONG_BODY
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def _post(body: bytes, framing: str) -> bytes:
@@ -214,7 +214,7 @@
             bodies.append(message.body)
             conn.sendall(ok(b"took %d" % len(message.body)))
 
-    with running(tmp_path, Raw(exchange)) as (program, _, _d), program.connect() as conn:
+    with running(tmp_path, RawUpstream(exchange)) as (program, _, _d), program.connect() as conn:
         file = conn.makefile("rb")
         for number in (1, 2):
             raw = raw.replace(b"Request-Id: ", b"Request-Id: %d" % number, 1)
@@ -251,7 +251,7 @@
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
         until(lambda: program.counters()["requests_unanswered"] == 0)
         until(lambda: program.counters()["upstream_connections_open"] == 0)
-        assert all(len(message.body) <= len(LONG_BODY) - 9 for message in upstreams[0].got)
+        assert all(len(message.body) <= len(LONG_BODY) - 9 for message in upstreams[0].received)
 
 
 def test_long_request_without_an_upstream_gets_its_response_at_once_and_is_read_to_its_end(
@@ -260,8 +260,8 @@
     closed = socket.create_server(("127.0.0.1", 0))
     port = closed.getsockname()[1]
     closed.close()
-    discovery = DiscoveryClient()
-    program = Program(tmp_path, parse_endpoint_list(entry("s-0", port)), discovery.port, 256)
+    discovery = DiscoveryServer()
+    program = Program(tmp_path, make_endpoint_list(entry("s-0", port)), discovery.port, 256)
     try:
         with program.connect() as conn:
             file = conn.makefile("rb")
@@ -283,7 +283,7 @@
 
     def upstream(message: Message) -> bytes:
         if message.body == b"first":
-            assert proceed.wait(WAIT)
+            assert proceed.wait(TIMEOUT_S)
         return echo(message)
 
     with running(tmp_path, upstream) as (program, _, _d), program.connect() as conn:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,14 +15,14 @@
 
 from tests.peers import (
     SETTINGS,
-    WAIT,
+    TIMEOUT_S,
     Message,
     Peer,
-    Raw,
+    RawUpstream,
     echo,
     entry,
+    make_endpoint_list,
     ok,
-    parse_endpoint_list,
     read_response,
     request,
     running,
@@ -43,7 +43,7 @@
 
 def received_by(upstreams: list[Peer]) -> int:
     """Return the number of requests that the upstreams have received."""
-    return sum(len(upstream.got) for upstream in upstreams)
+    return sum(len(upstream.received) for upstream in upstreams)
 
 
 @pytest.mark.parametrize("disconnect", DISCONNECTS)
@@ -59,7 +59,7 @@
     release = threading.Event()
 
     def script(message: Message) -> bytes | None:
-        release.wait(WAIT)
+        release.wait(TIMEOUT_S)
         return echo(message) if message.body == b"end" else first
 
     with running(tmp_path, script, script) as (program, upstreams, _), program.connect() as conn:
@@ -70,7 +70,7 @@
         disconnect(conn)
         release.set()
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        assert program.ask(request("pay", b"end"))[1].body == b"end"
+        assert program.exchange(request("pay", b"end"))[1].body == b"end"
         until(lambda: program.counters()["requests_unanswered"] == 0)
         assert received_by(upstreams) == before + 1
 
@@ -105,9 +105,9 @@
         until(lambda: program.counters().get("requests_accepted", 0) == 1)
         disconnect(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=2)).encode())
-        until(lambda: program.ask(request("pay", b"end"))[0] == 200)
-        assert {message.body for message in upstream.got} == {b"end"}
+        discovery.push(json.dumps(make_endpoint_list(entry("s-0", upstream.port), index=2)).encode())
+        until(lambda: program.exchange(request("pay", b"end"))[0] == 200)
+        assert {message.body for message in upstream.received} == {b"end"}
     upstream.close()
 
 
@@ -128,7 +128,7 @@
                 conn.sendall(ok())
             client_left.wait(0.01)
 
-    with running(tmp_path, Raw(exchange), settings=SETTINGS) as (program, _, _d):
+    with running(tmp_path, RawUpstream(exchange), settings=SETTINGS) as (program, _, _d):
         conn = program.connect()
         with contextlib.suppress(ConnectionError):
             conn.sendall(request("pay", b"x" * size))
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -25,14 +25,14 @@
 from indigokeel.hot_restart.snapshot import ClockReading, LearnedState
 from tests import faulty_program, peers
 from tests.peers import (
-    WAIT,
-    DiscoveryClient,
+    TIMEOUT_S,
+    DiscoveryServer,
     Peer,
     Program,
+    admin_environment,
     echo,
     entry,
-    operators,
-    parse_endpoint_list,
+    make_endpoint_list,
     request,
 )
 
@@ -258,19 +258,19 @@
 @contextlib.contextmanager
 def restartable_sidecar(
     tmp: Path, monkeypatch: pytest.MonkeyPatch, count: int, since: Callable[[int], int] = lambda _: 0
-) -> Iterator[tuple[Callable[..., Program], list[Peer], DiscoveryClient]]:
+) -> Iterator[tuple[Callable[..., Program], list[Peer], DiscoveryServer]]:
     """Run upstreams and discovery; yield them with a function that starts one more sidecar process, which can
     inject faults. The processes share the folder ``state``."""
     monkeypatch.setattr(peers, "start", faulty_program.start)
     (tmp / "state").mkdir()
-    upstreams, discovery, programs = [Peer(echo) for _ in range(count)], DiscoveryClient(), list[Program]()
-    known = parse_endpoint_list(
+    upstreams, discovery, programs = [Peer(echo) for _ in range(count)], DiscoveryServer(), list[Program]()
+    known = make_endpoint_list(
         *(entry(f"s-{i}", peer.port, since_ms=since(i)) for i, peer in enumerate(upstreams))
     )
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
 
         def start(**env: Any) -> Program:
-            more = {**operators(tmp / "state"), **env}
+            more = {**admin_environment(tmp / "state"), **env}
             programs.append(Program(tmp, known, discovery.port, 256, listener, **more))
             return programs[-1]
 
@@ -291,14 +291,14 @@
 ) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 3) as (start, upstreams, _):
         old = start()
-        assert old.call("PUT", "cordon", "s-0") == 200
+        assert old.call_admin("PUT", "cordon", "s-0") == 200
         new = start(FAULT_WALL_STEP_S=str(step))
         old.process.terminate()
-        assert old.process.wait(WAIT) == 0
-        count_before = len(upstreams[0].got)
+        assert old.process.wait(TIMEOUT_S) == 0
+        count_before = len(upstreams[0].received)
         for _ in range(40):
-            assert new.ask(request())[0] == 200
-        assert len(upstreams[0].got) == count_before and "state_files_unreadable" not in new.counters()
+            assert new.exchange(request())[0] == 200
+        assert len(upstreams[0].received) == count_before and "state_files_unreadable" not in new.counters()
 
 
 def test_state_is_still_written_after_the_wall_clock_went_back_and_during_shutdown(
@@ -320,7 +320,7 @@
             program.process.terminate()
             peers.until(lambda: "stopping" in program.log.read_text())
             ending = names()
-            assert program.process.wait(WAIT) == 0
+            assert program.process.wait(TIMEOUT_S) == 0
         assert not ending & names()
 
 
@@ -334,10 +334,10 @@
 
 
 def _share(program: Program, upstream: Peer, requests: int) -> float:
-    count_before = len(upstream.got)
+    count_before = len(upstream.received)
     for number in range(requests):
-        assert program.ask(request(key=f"k{number}"))[0] == 200
-    return (len(upstream.got) - count_before) / requests
+        assert program.exchange(request(key=f"k{number}"))[0] == 200
+    return (len(upstream.received) - count_before) / requests
 
 
 @pytest.mark.parametrize("step", [-HOUR, 0.0, HOUR])
@@ -362,11 +362,9 @@
 ) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 5) as (start, upstreams, discovery):
         program = start(FAULT_WALL_STEP_S=str(step))
-        whole = parse_endpoint_list(
-            *(entry(f"s-{i}", peer.port) for i, peer in enumerate(upstreams)), index=2
-        )
+        whole = make_endpoint_list(*(entry(f"s-{i}", peer.port) for i, peer in enumerate(upstreams)), index=2)
         discovery.push(json.dumps(whole).encode())
         change = entry("s-0", upstreams[0].port, since_ms=int(time.time() * 1000))
-        discovery.push(json.dumps(parse_endpoint_list(change, index=3, whole=False)).encode())
+        discovery.push(json.dumps(make_endpoint_list(change, index=3, snapshot=False)).encode())
         peers.until(lambda: program.counters().get("endpoint_lists") == 2)
         assert _share(program, upstreams[0], 250) < 0.12
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -56,8 +56,8 @@
             conn.sendall(request("pay", b"1"))
             disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
-        assert program.ask(request("pay", b"2"))[1].body == b"2"
-        assert [message.body for message in upstream.got] == [b"0", b"2"]
+        assert program.exchange(request("pay", b"2"))[1].body == b"2"
+        assert [message.body for message in upstream.received] == [b"0", b"2"]
         counters = program.counters()
         assert (
             counters["requests_unanswered"],
@@ -81,14 +81,14 @@
     with running(tmp_path, reject, reject) as (program, upstreams, _):
         conn = program.connect()
         conn.sendall(request("view"))
-        until(lambda: sum(len(upstream.got) for upstream in upstreams) == 1)
-        held = next(upstream for upstream in upstreams if upstream.got)
+        until(lambda: sum(len(upstream.received) for upstream in upstreams) == 1)
+        held = next(upstream for upstream in upstreams if upstream.received)
         with stopped(program):
             release.set()
-            until(lambda: held.answered == 1)
+            until(lambda: held.responses_sent == 1)
             disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
-        assert sum(len(upstream.got) for upstream in upstreams) == 1
+        assert sum(len(upstream.received) for upstream in upstreams) == 1
         assert program.counters()["requests_unanswered"] == 0
         conn.close()
 
@@ -135,7 +135,7 @@
         until(lambda: program.counters()["client_connections_open"] >= MAX_CLIENTS)
         time.sleep(0.6)  # until the requests count as stalled; a longer wait does no harm
         for number in range(5):
-            assert program.ask(request("pay", b"x%d" % number))[1].body == b"x%d" % number
+            assert program.exchange(request("pay", b"x%d" % number))[1].body == b"x%d" % number
         error_responses = 0
         for conn, message in zip(partial_clients, messages, strict=True):
             with contextlib.suppress(OSError):
@@ -184,7 +184,7 @@
                 conn.sendall(request("pay", b"half")[:-2])
             elif number % 3 == 2:
                 conn.sendall(request("view"))
-            answer = program.ask(request("pay", b"%d" % number))
+            answer = program.exchange(request("pay", b"%d" % number))
             assert (answer[0], answer[1].body) == (200, b"%d" % number)
         counters = program.counters()
         # 12 of the reserved descriptors may be in use as well.
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,14 +21,14 @@
 from indigokeel.process.request_service import RequestService
 from tests.peers import (
     SETTINGS,
-    WAIT,
+    TIMEOUT_S,
     Message,
     Peer,
     Program,
     echo,
     entry,
+    make_endpoint_list,
     ok,
-    parse_endpoint_list,
     read_response,
     request,
     running,
@@ -46,7 +46,7 @@
         self.release = threading.Event()
 
         def wait(message: Message) -> bytes:
-            self.release.wait(WAIT)
+            self.release.wait(TIMEOUT_S)
             return script(message)
 
         super().__init__(wait)
@@ -85,16 +85,16 @@
         program.connect() as conn,
     ):
         conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
         sender = threading.Thread(target=conn.sendall, args=(unread,))
         sender.start()
-        sender.join(WAIT)
+        sender.join(TIMEOUT_S)
         program.counters()
         upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
         code, answer = read_response(file)
         assert (code, answer.body) == (200, BIG) and answer.headers["connection"] == "close"
-        assert file.read() == b"" and len(upstream.got) == 1
+        assert file.read() == b"" and len(upstream.received) == 1
         until(lambda: program.counters()["client_connections_open"] == 1)  # only this client's
 
 
@@ -105,7 +105,7 @@
             conn.sendall(b"garbage\r\n\r\n" + b"x" * size)
             file = conn.makefile("rb")
             assert read_response(file)[0] == 400 and file.read() == b""
-        assert upstreams[0].got == [] and program.ask(request())[0] == 200
+        assert upstreams[0].received == [] and program.exchange(request())[0] == 200
 
 
 def test_endless_flood_gets_an_error_and_its_connection_is_closed(tmp_path: Path) -> None:
@@ -122,10 +122,10 @@
         for one in senders:
             one.start()
         for one in senders:
-            one.join(WAIT)
+            one.join(TIMEOUT_S)
             assert not one.is_alive()
         until(lambda: program.counters()["client_connections_open"] <= 1)
-        assert program.ask(request())[0] == 200 and program.counters()["messages_malformed"] == 8
+        assert program.exchange(request())[0] == 200 and program.counters()["messages_malformed"] == 8
         for conn in conns:
             conn.close()
 
@@ -142,9 +142,9 @@
         assert file.read() == b""
         with contextlib.suppress(OSError):
             conn.sendall(request("pay", b"late"))
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
         counters = program.last_counters()
-        assert len(upstreams[0].got) == 1 and (
+        assert len(upstreams[0].received) == 1 and (
             counters["requests_accepted"],
             counters["requests_unanswered"],
         ) == (1, 0)
@@ -179,7 +179,7 @@
     with running(tmp_path, HeldUpstream()) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"1"))
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
 
         def send() -> None:
             with contextlib.suppress(OSError):
@@ -191,9 +191,9 @@
         leave(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
         upstream.release.set()  # type: ignore[attr-defined]
-        sender.join(WAIT)
-        assert program.ask(request("pay", b"3"))[1].body == b"3"
-        assert [message.body for message in upstream.got] == [b"1", b"3"]
+        sender.join(TIMEOUT_S)
+        assert program.exchange(request("pay", b"3"))[1].body == b"3"
+        assert [message.body for message in upstream.received] == [b"1", b"3"]
         counters = program.counters()
         assert (counters["requests_unanswered"], counters.get("client_connection_faults", 0)) == (0, 0)
         conn.close()
@@ -206,8 +206,8 @@
     """The requests wait because there is no upstream; one is added after all clients have disconnected."""
     with running(tmp_path, echo, sockets=1024) as (program, (upstream,), discovery):
         until(lambda: bool(discovery.watches))
-        discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
-        until(lambda: program.ask(HEALTH_REQUEST)[0] == 503)
+        discovery.push(json.dumps(make_endpoint_list(index=2)).encode())
+        until(lambda: program.exchange(HEALTH_REQUEST)[0] == 503)
         conns = [program.connect() for _ in range(200)]
         for conn in conns:
             conn.sendall(request(wait_ms=60_000))
@@ -215,9 +215,9 @@
         for conn in conns:
             leave(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 200)
-        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
-        assert program.ask(request("pay", b"x"))[1].body == b"x"
-        assert [message.body for message in upstream.got] == [b"x"]
+        discovery.push(json.dumps(make_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
+        assert program.exchange(request("pay", b"x"))[1].body == b"x"
+        assert [message.body for message in upstream.received] == [b"x"]
         assert program.counters()["requests_unanswered"] == 0
         for conn in conns:
             conn.close()
@@ -254,7 +254,7 @@
     ):
         until(lambda: bool(discovery.watches))
         late = entry("s-9", listener.getsockname()[1])
-        discovery.push(json.dumps(parse_endpoint_list(late, index=2)).encode())
+        discovery.push(json.dumps(make_endpoint_list(late, index=2)).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         conn = program.connect()
         conn.sendall(request("pay", b"1", wait_ms=100_000))
@@ -263,8 +263,8 @@
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
         accept()
         assert program.counters()["attempts_waiting"] == 0
-        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
-        until(lambda: program.ask(request("pay", b"2"))[0] == 200)
+        discovery.push(json.dumps(make_endpoint_list(entry("s-0", upstream.port), index=3)).encode())
+        until(lambda: program.exchange(request("pay", b"2"))[0] == 200)
         # A connection established late, if there is one, carries no request.
         listener.settimeout(1.5)
         with contextlib.suppress(TimeoutError):
@@ -284,7 +284,7 @@
     """At SIGTERM the responses are in the event loop's write buffers: their client has not read them yet."""
     with running(tmp_path, lambda _: ok(BIG)) as (program, _, _d), socket.socket() as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        conn.settimeout(WAIT)
+        conn.settimeout(TIMEOUT_S)
         conn.connect(program.address)
         rounds = 12
         for number in range(1, rounds + 1):
@@ -296,7 +296,7 @@
         file = conn.makefile("rb")
         for _ in range(8 * rounds):
             assert read_response(file)[1].body == BIG
-        assert file.read() == b"" and program.process.wait(WAIT) == 0
+        assert file.read() == b"" and program.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("has_attempt", [True, False])
@@ -312,17 +312,17 @@
     ):
         if not has_attempt:
             until(lambda: bool(discovery.watches))
-            discovery.push(json.dumps(parse_endpoint_list(index=2)).encode())
-            until(lambda: program.ask(HEALTH_REQUEST)[0] == 503)
+            discovery.push(json.dumps(make_endpoint_list(index=2)).encode())
+            until(lambda: program.exchange(HEALTH_REQUEST)[0] == 503)
         with program.connect() as conn:
             conn.sendall(request("pay", b"1", wait_ms=60_000))
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
-            until(lambda: len(upstream.got) == int(has_attempt))
+            until(lambda: len(upstream.received) == int(has_attempt))
             program.process.send_signal(signal.SIGTERM)
             file = conn.makefile("rb")
             code, answer = read_response(file)
             assert code == (500 if has_attempt else 503) and answer.headers["connection"] == "close"
-            assert file.read() == b"" and program.process.wait(WAIT) == 0
+            assert file.read() == b"" and program.process.wait(TIMEOUT_S) == 0
             assert program.last_counters()["requests_unanswered"] == 0
 
 
@@ -355,32 +355,32 @@
                         wrong.append("bytes after the last response")
                     break
                 if turn == 5:
-                    ready.wait(WAIT)
+                    ready.wait(TIMEOUT_S)
             conn.close()
 
         clients = [threading.Thread(target=client, args=(number,)) for number in range(8)]
         for one in clients:
             one.start()
-        ready.wait(WAIT)
+        ready.wait(TIMEOUT_S)
         program.process.send_signal(signal.SIGTERM)
         for one in clients:
-            one.join(WAIT)
-        assert program.process.wait(WAIT) == 0 and wrong == []
-        assert sorted(answered) == sorted(message.body for message in upstream.got)
+            one.join(TIMEOUT_S)
+        assert program.process.wait(TIMEOUT_S) == 0 and wrong == []
+        assert sorted(answered) == sorted(message.body for message in upstream.received)
         assert program.last_counters()["requests_unanswered"] == 0
 
 
 def test_second_sigterm_changes_nothing(tmp_path: Path) -> None:
     with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(request("pay", b"1"))
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
         for _ in range(3):
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGHUP)
         until(lambda: "stopping" in program.log.read_text())
         upstream.release.set()  # type: ignore[attr-defined]
         assert read_response(conn.makefile("rb"))[1].body == b"1"
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
 
 
 def test_sigterm_before_the_first_endpoint_list(tmp_path: Path) -> None:
@@ -396,7 +396,7 @@
             _await_accepted(program, 1)
             program.process.send_signal(signal.SIGTERM)
             assert read_response(conn.makefile("rb"))[0] in (200, 503)
-            assert program.process.wait(WAIT) == 0
+            assert program.process.wait(TIMEOUT_S) == 0
         agent.let.set()
 
 
@@ -411,7 +411,7 @@
     arrives after that time, just before the shutdown checks whether any request is unanswered."""
     upstream = Peer(echo)
     config = tmp_path / "config.json"
-    known = parse_endpoint_list(entry("s-0", upstream.port))
+    known = make_endpoint_list(entry("s-0", upstream.port))
     addresses = {"listen": "127.0.0.1:3000", "discovery": "127.0.0.1:1"}  # neither is used
     config.write_text(json.dumps({"name": "n0", **addresses, "known": known, "settings": SETTINGS}))
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
@@ -422,7 +422,7 @@
     )
     with socket.create_server(("127.0.0.1", 0)) as listener, socket.socket() as conn:
         listener.setblocking(False)
-        conn.settimeout(WAIT)
+        conn.settimeout(TIMEOUT_S)
         message = request("pay", b"last")
         sent = 0
 
--- a/tests/test_errno.py
+++ b/tests/test_errno.py
@@ -180,7 +180,7 @@
     upstreams = [peers.Peer(peers.echo) for _ in range(count)]
     coordinator, counters = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0), Counters("t")
     entries = [peers.entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)]
-    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.make_endpoint_list(*entries)))
 
     async def run_work() -> Any:
         return await work(
@@ -222,7 +222,7 @@
         return counters["writes_not_begun"]
 
     tries, upstreams = run_client(1, work)
-    assert len(upstreams[0].got) == received_count and tries >= 3
+    assert len(upstreams[0].received) == received_count and tries >= 3
 
 
 def test_partly_written_attempt_that_fails_locally_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -240,7 +240,7 @@
         assert await send_attempt(client, coordinator, "j", [b"body"]) is AttemptOutcome.NOT_SENT
 
     _, upstreams = run_client(1, work)
-    assert calls[0] > 3 and not any(message.body for message in upstreams[0].got)
+    assert calls[0] > 3 and not any(message.body for message in upstreams[0].received)
 
 
 @pytest.mark.parametrize(("times", "outcome"), [(3, AttemptOutcome.OK), (10**6, AttemptOutcome.NOT_SENT)])
@@ -287,8 +287,8 @@
     (tmp_path / "sitecustomize.py").write_text(SITECUSTOMIZE.format(times=24, answer=answer))
     with peers.running(tmp_path, *[peers.echo] * 4, PYTHONPATH=str(tmp_path)) as (program, upstreams, _):
         with ThreadPoolExecutor(16) as clients:
-            codes = list(clients.map(lambda _: program.ask(peers.request("pay", b"x"))[0], range(200)))
+            codes = list(clients.map(lambda _: program.exchange(peers.request("pay", b"x"))[0], range(200)))
         counts, log = program.counters(), program.log.read_text()
-    assert codes == [200] * 200 and sum(len(upstream.got) for upstream in upstreams) == 200
+    assert codes == [200] * 200 and sum(len(upstream.received) for upstream in upstreams) == 200
     assert not counts.get("circuit_breakers_opened") and not counts.get("connects_failed")
     assert "quarantine" not in log and "eject" not in log
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests import faulty_program, peers
-from tests.peers import WAIT, echo, request, running, until
+from tests.peers import TIMEOUT_S, echo, request, running, until
 
 
 @pytest.mark.parametrize(("spin_s", "reports"), [(1.5, 1), (0.3, 0)])
@@ -23,13 +23,13 @@
         _,
         _d,
     ):
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         before_s = program.counters()["cpu_s"]
         spin_file.touch()
         until(lambda: program.counters()["cpu_s"] > before_s + spin_s)
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         assert program.counters().get("standstills", 0) == reports
-        assert program.logged("event loop stands still, using the processor: faulty_program.py:", reports)
-        assert program.logged(" spinning_step < ", reports)
+        assert program.has_logged("event loop stands still, using the processor: faulty_program.py:", reports)
+        assert program.has_logged(" spinning_step < ", reports)
         program.process.send_signal(signal.SIGTERM)
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -15,7 +15,7 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from indigokeel.requests.effects import FinalStatus, Request
 from tests.conftest import make_settings
-from tests.peers import SETTINGS, echo, entry, parse_endpoint_list, request, running, until
+from tests.peers import SETTINGS, echo, entry, make_endpoint_list, request, running, until
 from tests.test_endings import HEALTH_REQUEST
 from tests.test_fleet import Fleet, endpoint
 
@@ -114,11 +114,11 @@
             ],
             start=2,
         ):
-            discovery.push(json.dumps(parse_endpoint_list(*entries, index=index, whole=whole)).encode())
+            discovery.push(json.dumps(make_endpoint_list(*entries, index=index, snapshot=whole)).encode())
             until(lambda: program.counters().get("endpoint_lists", 0) == index - 1)  # noqa: B023
-            assert program.ask(HEALTH_REQUEST)[0] == code
+            assert program.exchange(HEALTH_REQUEST)[0] == code
             if code == 200:
-                assert program.ask(request("pay", b"x"))[1].body == b"x"
+                assert program.exchange(request("pay", b"x"))[1].body == b"x"
         counters = program.counters()
         assert (
             counters["requests_unanswered"],
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -28,7 +28,7 @@
     """Return a coordinator whose only upstream, s-0, listens on the given port."""
     coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
     entry = peers.entry("s-0", port)
-    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.make_endpoint_list(entry)))
     return coordinator
 
 
@@ -58,7 +58,7 @@
     coordinator = make_coordinator(upstream.port)
     client = UpstreamClient(coordinator, Counters("t"), UpstreamClientOptions(0.25, 30.0, 8))
     assert asyncio.run(client.check_health("s-0")) == expected
-    assert upstream.got[0].line == "GET /_load HTTP/1.1"
+    assert upstream.received[0].line == "GET /_load HTTP/1.1"
     upstream.close()
     assert asyncio.run(client.check_health("s-1")) == (AttemptOutcome.NOT_SENT, None)
 
@@ -93,7 +93,7 @@
     upstream = peers.Peer(lambda message: peers.ok(b"inflight=7,util=0.5"))
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         assert runner.run(alternate()) == [AttemptOutcome.OK] * 5
-    assert counters["upstream_connections"] == 1 and len(upstream.got) == 10
+    assert counters["upstream_connections"] == 1 and len(upstream.received) == 10
     upstream.close()
 
 
@@ -131,10 +131,10 @@
 def test_upstream_that_reports_overload_gets_no_requests_until_its_load_falls(tmp_path: Path) -> None:
     upstream = ReportingUpstream(b"inflight=500,util=1.0,latency_ms=80,qps=20")
     with running(tmp_path, upstream, settings=HEALTH_CHECKED) as (program, (peer,), _):
-        until(lambda: program.ask(request("pay", b"x"))[0] == 503)
+        until(lambda: program.exchange(request("pay", b"x"))[0] == 503)
         assert upstream.health_checks > 0 and program.counters()["upstream_health_check_ok"] > 0
         upstream.load = b"inflight=0,util=0.1,latency_ms=80,qps=20"
-        until(lambda: program.ask(request("pay", b"y"))[0] == 200)
+        until(lambda: program.exchange(request("pay", b"y"))[0] == 200)
         counters = program.counters()
         assert (
             counters["requests_unanswered"] == 0
@@ -146,7 +146,7 @@
     upstream = ReportingUpstream(b"")
     with running(tmp_path, upstream, settings=HEALTH_CHECKED) as (program, _, _d):
         for number in range(40):
-            assert program.ask(request("pay", b"%d" % number))[0] == 200
+            assert program.exchange(request("pay", b"%d" % number))[0] == 200
         until(lambda: program.counters().get("upstream_health_checks_without_report", 0) >= 8)
 
 
@@ -158,15 +158,15 @@
         conns = [program.connect() for _ in range(8)]
         for conn in conns:
             conn.sendall(request("pay", b"x", wait_ms=60_000))
-        until(lambda: any("/_load" in message.line for message in silent.got))
+        until(lambda: any("/_load" in message.line for message in silent.received))
         for index, state in ((2, "Terminating"), (3, "Gone")):
-            entries = peers.parse_endpoint_list(entry("s-0", silent.port, state), index=index, whole=False)
+            entries = peers.make_endpoint_list(entry("s-0", silent.port, state), index=index, snapshot=False)
             discovery.push(json.dumps(entries).encode())
             until(lambda: program.counters().get("endpoint_lists", 0) == index - 1)  # noqa: B023
             for number in range(12):
-                assert program.ask(request("pay", b"%d" % number))[1].body == b"%d" % number
+                assert program.exchange(request("pay", b"%d" % number))[1].body == b"%d" % number
             # The silent upstream has received nothing but health checks and requests sent before the drain.
-            assert {message.body for message in silent.got} <= {b"", b"x"}
+            assert {message.body for message in silent.received} <= {b"", b"x"}
         silent.release.set()
         until(lambda: program.counters()["requests_unanswered"] == 0)
         assert program.counters().get("task_faults", 0) == 0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(
     ("answer", "lists", "failures"),
     [
-        (peers.ok(json.dumps(peers.parse_endpoint_list(index=5)).encode()), 1, 0),
+        (peers.ok(json.dumps(peers.make_endpoint_list(index=5)).encode()), 1, 0),
         (peers.ok(b"[]"), 0, 1),
         (peers.status(503), 0, 1),
         (None, 0, 1),
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -20,17 +20,17 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.admin import AdminServer
 from tests.peers import (
+    ADMIN_HOST,
     CLASSES,
-    OPERATORS,
     SETTINGS,
-    WAIT,
+    TIMEOUT_S,
     Message,
     Program,
+    admin_environment,
     echo,
     entry,
     free_port,
-    operators,
-    parse_endpoint_list,
+    make_endpoint_list,
     read_response,
     request,
     running,
@@ -67,27 +67,32 @@
     ],
 )
 def test_admin_calls_are_answered_with_the_expected_status(tmp_path: Path, raw: bytes, code: int) -> None:
-    with running(tmp_path, echo, **operators(tmp_path)) as (program, _, _d):
-        with socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT) as conn:
+    with running(tmp_path, echo, **admin_environment(tmp_path)) as (program, _, _d):
+        with socket.create_connection((ADMIN_HOST, program.mgmt), timeout=TIMEOUT_S) as conn:
             conn.sendall(raw)
             file = conn.makefile("rb")
             assert read_response(file)[0] == code and file.read() == b""
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
 
 
 def test_admin_calls_are_answered_while_other_callers_hold_connections(tmp_path: Path) -> None:
-    with running(tmp_path, echo, **operators(tmp_path)) as (program, _, _d), contextlib.ExitStack() as stack:
+    with (
+        running(tmp_path, echo, **admin_environment(tmp_path)) as (program, _, _d),
+        contextlib.ExitStack() as stack,
+    ):
         for _ in range(60):
-            held = stack.enter_context(socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT))
+            held = stack.enter_context(
+                socket.create_connection((ADMIN_HOST, program.mgmt), timeout=TIMEOUT_S)
+            )
             held.sendall(b"PUT /admin/cordon HTTP/1.1\r\nContent-Le")
-            assert program.call("GET", "health") == 200
+            assert program.call_admin("GET", "health") == 200
         counters = program.counters()
         assert counters["mgmt_shed"] >= 60 - 24 and counters["mgmt_calls"] >= 60
 
 
 def test_without_an_admin_address_no_admin_server_and_no_state_folder_exist(tmp_path: Path) -> None:
     with running(tmp_path, echo, TMPDIR=str(tmp_path / "none")) as (program, _, _d):
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         assert "mgmt_calls" not in program.counters() and not (tmp_path / "none").exists()
 
 
@@ -97,7 +102,7 @@
 
     async def check() -> None:
         server = AdminServer(None, Counters("t"))  # type: ignore[arg-type]
-        address = (OPERATORS, free_port(OPERATORS))
+        address = (ADMIN_HOST, free_port(ADMIN_HOST))
         await server.listen(address)
         (descriptor,) = server.descriptors()
         with socket.socket(fileno=os.dup(descriptor)) as listener:
@@ -111,20 +116,20 @@
 
 
 def test_cordoned_upstream_receives_no_requests_until_it_is_uncordoned(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, discovery):
-        assert program.call("PUT", "cordon", "s-0") == 200 == program.call("PUT", "cordon", "s-0")
-        received = len(upstreams[0].got)
+    with running(tmp_path, echo, echo, **admin_environment(tmp_path)) as (program, upstreams, discovery):
+        assert program.call_admin("PUT", "cordon", "s-0") == 200 == program.call_admin("PUT", "cordon", "s-0")
+        received = len(upstreams[0].received)
         discovery.push(
             json.dumps(
-                parse_endpoint_list(*(entry(f"s-{i}", n.port) for i, n in enumerate(upstreams)), index=2)
+                make_endpoint_list(*(entry(f"s-{i}", n.port) for i, n in enumerate(upstreams)), index=2)
             ).encode()
         )
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(20):
-            assert program.ask(request())[0] == 200
-        assert len(upstreams[0].got) == received and program.counters()["cordoned"] == 1
-        assert program.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: program.ask(request())[0] == 200 and len(upstreams[0].got) > received)
+            assert program.exchange(request())[0] == 200
+        assert len(upstreams[0].received) == received and program.counters()["cordoned"] == 1
+        assert program.call_admin("PUT", "uncordon", "s-0") == 200
+        until(lambda: program.exchange(request())[0] == 200 and len(upstreams[0].received) > received)
 
 
 def test_cordon_is_accepted_and_holds_while_the_admin_address_is_flooded(tmp_path: Path) -> None:
@@ -134,14 +139,14 @@
         held: list[socket.socket] = []
         while not stop.is_set():
             with contextlib.suppress(OSError):
-                held.append(socket.create_connection((OPERATORS, program.mgmt), timeout=WAIT))
+                held.append(socket.create_connection((ADMIN_HOST, program.mgmt), timeout=TIMEOUT_S))
                 held[-1].sendall(raw)
             if len(held) > 40:
                 held.pop(0).close()
         for conn in held:
             conn.close()
 
-    with running(tmp_path, echo, echo, **operators(tmp_path)) as (program, upstreams, _):
+    with running(tmp_path, echo, echo, **admin_environment(tmp_path)) as (program, upstreams, _):
         payloads = (b"PUT /admin/cordon HTTP/1.1\r\n", b"\0" * 40_000, b"GET /admin/health HTTP/1.1\r\n\r\n")
         workers = [threading.Thread(target=flood, args=(raw,)) for raw in payloads]
         for worker in workers:
@@ -150,11 +155,15 @@
             for _ in range(3):
                 # The flood can make the server close a call before it is answered; the call is then repeated.
                 until(lambda: _is_accepted(program, "cordon"))
-                received = len(upstreams[0].got)
-                assert {program.ask(request())[0] for _ in range(20)} == {200}
-                assert len(upstreams[0].got) == received
+                received = len(upstreams[0].received)
+                assert {program.exchange(request())[0] for _ in range(20)} == {200}
+                assert len(upstreams[0].received) == received
                 until(lambda: _is_accepted(program, "uncordon"))
-                until(lambda n=received: program.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
+                until(
+                    lambda n=received: (  # type: ignore[misc]
+                        program.exchange(request())[0] == 200 and len(upstreams[0].received) > n
+                    )
+                )
         finally:
             stop.set()
             for worker in workers:
@@ -163,24 +172,26 @@
 
 def _is_accepted(program: Program, call: str) -> bool:
     with contextlib.suppress(OSError):
-        return program.call("PUT", call, "s-0") == 200
+        return program.call_admin("PUT", call, "s-0") == 200
     return False
 
 
 def test_cordon_holds_when_it_cannot_be_stored(tmp_path: Path) -> None:
-    with running(tmp_path, echo, echo, **{**operators(tmp_path), "TMPDIR": str(tmp_path / "none")}) as (
+    with running(
+        tmp_path, echo, echo, **{**admin_environment(tmp_path), "TMPDIR": str(tmp_path / "none")}
+    ) as (
         program,
         upstreams,
         _,
     ):
-        assert program.call("PUT", "cordon", "s-0") == 503 == program.call("PUT", "cordon", "s-0")
-        received = len(upstreams[0].got)
+        assert program.call_admin("PUT", "cordon", "s-0") == 503 == program.call_admin("PUT", "cordon", "s-0")
+        received = len(upstreams[0].received)
         for _ in range(10):
-            assert program.ask(request())[0] == 200
-        assert len(upstreams[0].got) == received and program.counters()["state_files_unwritten"] >= 2
+            assert program.exchange(request())[0] == 200
+        assert len(upstreams[0].received) == received and program.counters()["state_files_unwritten"] >= 2
         assert program.log.read_text().count("cannot write state for the next process") == 1
         (tmp_path / "none").mkdir()  # from now on the retries can store the cordon
-        until(lambda: program.call("PUT", "cordon", "s-0") == 200)
+        until(lambda: program.call_admin("PUT", "cordon", "s-0") == 200)
 
 
 # --- reloads by SIGHUP ------------------------------------------------------------------------------------
@@ -193,7 +204,7 @@
         "discovery": "127.0.0.1:2",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 256},
-        "known": parse_endpoint_list(entry("s-0", 1)),
+        "known": make_endpoint_list(entry("s-0", 1)),
         "settings": json.loads(json.dumps(SETTINGS)),
     }
 
@@ -274,38 +285,44 @@
 
         def load() -> None:
             while not stop.is_set():
-                codes.append(program.ask(request("order", b"x", more="Idempotency-Key: k\r\n"))[0])
+                codes.append(program.exchange(request("order", b"x", more="Idempotency-Key: k\r\n"))[0])
 
         worker = threading.Thread(target=load)
         worker.start()
         for number, data in enumerate(BROKEN_CONFIGS.values(), 1):
             program.config.write_bytes(data)
             program.process.send_signal(signal.SIGHUP)
-            until(partial(program.logged, "the configuration is unchanged", number))
-        assert program.ask(request("fresh"))[0] == 400
+            until(partial(program.has_logged, "the configuration is unchanged", number))
+        assert program.exchange(request("fresh"))[0] == 400
         # One class is added and one changes its effect; later two are removed and max-attempts becomes 1.
         classes = [{**CLASSES[0]}, {**CLASSES[1], "effect": "unsafe"}, CLASSES[2]]
         classes.append({**CLASSES[1], "name": "fresh"})
         program.config.write_text(json.dumps({**original, "settings": {**SETTINGS, "classes": classes}}))
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
-        assert program.ask(request("fresh"))[0] == 200
+        assert program.exchange(request("fresh"))[0] == 200
         failing_classes.add("view")
-        before = sum(len(n.got) for n in upstreams)
+        before = sum(len(n.received) for n in upstreams)
         stop.set()
         worker.join()
-        before = sum(len(n.got) for n in upstreams)
-        assert program.ask(request("view"))[0] == 500 and sum(len(n.got) for n in upstreams) == before + 1
+        before = sum(len(n.received) for n in upstreams)
+        assert (
+            program.exchange(request("view"))[0] == 500
+            and sum(len(n.received) for n in upstreams) == before + 1
+        )
         limits = {**SETTINGS["limits"], "max-attempts": 1}
         changed = {**SETTINGS, "classes": classes[2:], "limits": limits}
         program.config.write_text(json.dumps({**original, "settings": changed}))
         program.process.send_signal(signal.SIGHUP)
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters()["reloads"] >= 2)
-        assert program.ask(request("view"))[0] == 400
+        assert program.exchange(request("view"))[0] == 400
         failing_classes.add("fresh")
-        before = sum(len(n.got) for n in upstreams)
-        assert program.ask(request("fresh"))[0] != 200 and sum(len(n.got) for n in upstreams) == before + 1
+        before = sum(len(n.received) for n in upstreams)
+        assert (
+            program.exchange(request("fresh"))[0] != 200
+            and sum(len(n.received) for n in upstreams) == before + 1
+        )
         assert codes and set(codes) == {200}
 
 
@@ -315,21 +332,21 @@
     def upstream(message: Message) -> bytes | None:
         if not arrived.is_set():
             arrived.set()
-            assert release.wait(WAIT)
+            assert release.wait(TIMEOUT_S)
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         return echo(message)
 
     with running(tmp_path, upstream, upstream) as (program, _, _d), program.connect() as conn:
         original = json.loads(program.config.read_text())
         conn.sendall(request("view"))
-        assert arrived.wait(WAIT)
+        assert arrived.wait(TIMEOUT_S)
         changed = {**SETTINGS, "classes": CLASSES[:1], "limits": {**SETTINGS["limits"], "max-attempts": 1}}
         program.config.write_text(json.dumps({**original, "settings": changed}))
         program.process.send_signal(signal.SIGHUP)
         until(lambda: program.counters().get("reloads") == 1)
         release.set()
         assert read_response(conn.makefile("rb"))[0] == 200  # still safe, so it is retried
-        assert program.ask(request("view"))[0] == 400
+        assert program.exchange(request("view"))[0] == 400
         assert program.counters()["balancer_faults"] == 0
 
 
@@ -339,12 +356,12 @@
     release = threading.Event()
 
     def upstream(message: Message) -> bytes:
-        assert release.wait(WAIT)
+        assert release.wait(TIMEOUT_S)
         return echo(message)
 
     with running(tmp_path, upstream) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request("pay", b"x"))
-        until(lambda: len(upstreams[0].got) == 1)
+        until(lambda: len(upstreams[0].received) == 1)
         program.process.send_signal(signal.SIGSTOP)
         release.set()
         time.sleep(1.0)  # longer than the class's latency objective
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -24,7 +24,17 @@
 from indigokeel.net.downstream.request_decoder import read_request
 from indigokeel.net.messages import OutboundRequest, UpstreamResponse
 from indigokeel.requests.effects import FinalStatus, Request
-from tests.peers import WAIT, Peer, echo, entry, parse_endpoint_list, read_response, request, running, until
+from tests.peers import (
+    TIMEOUT_S,
+    Peer,
+    echo,
+    entry,
+    make_endpoint_list,
+    read_response,
+    request,
+    running,
+    until,
+)
 from tests.test_endings import HEALTH_REQUEST, HeldUpstream
 from tests.test_net import OverloadedHandler
 
@@ -71,11 +81,11 @@
     tmp_path: Path, between: bytes, codes: list[int]
 ) -> None:
     with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
-        conn.settimeout(WAIT)
+        conn.settimeout(TIMEOUT_S)
         conn.sendall(PAY + between + request("pay", b"last", more="Connection: close\r\n"))
         assert read_status_codes(conn) == [200, *codes, 200]
-        assert (upstream.got[0].body, upstream.got[-1].body) == (b"one", b"last")
-        assert len(upstream.got) == 2 + codes.count(200) * (between[:9] != HEALTH_REQUEST[:9])
+        assert (upstream.received[0].body, upstream.received[-1].body) == (b"one", b"last")
+        assert len(upstream.received) == 2 + codes.count(200) * (between[:9] != HEALTH_REQUEST[:9])
 
 
 @pytest.mark.parametrize(
@@ -93,11 +103,11 @@
     tmp_path: Path, broken: bytes
 ) -> None:
     with running(tmp_path, echo) as (program, (upstream,), _), program.connect() as conn:
-        conn.settimeout(WAIT)
+        conn.settimeout(TIMEOUT_S)
         conn.sendall(PAY * 1 + request("odd", b"x") + LAST + broken + request("pay", b"never"))
         codes = read_status_codes(conn)
         assert codes[:3] == [200, 400, 200] and len(codes) == 4 and codes[3] in (400, 413, 431)
-        assert [message.body for message in upstream.got] == [b"one", b"last"]
+        assert [message.body for message in upstream.received] == [b"one", b"last"]
 
 
 def test_request_gets_one_error_response_even_if_its_body_is_cut_off_later(tmp_path: Path) -> None:
@@ -138,8 +148,8 @@
         program.connect() as conn,
     ):
         other.sendall(PAY)
-        until(lambda: len(held.got) == 1)
-        discovery.push(json.dumps(parse_endpoint_list(entry("s-1", quick.port), index=2)).encode())
+        until(lambda: len(held.received) == 1)
+        discovery.push(json.dumps(make_endpoint_list(entry("s-1", quick.port), index=2)).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         conn.sendall(request("pay", b"2") + PAY + request("pay", b"3") + same + request("pay", b"4"))
         file = conn.makefile("rb")
@@ -155,7 +165,7 @@
     long = request("pay", more="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST") + chunks
     with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + long)
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
         program.counters()
         upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
@@ -167,7 +177,7 @@
 def test_continue_is_sent_in_order_behind_another_request(tmp_path: Path) -> None:
     with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
         conn.sendall(PAY + request("pay", b"late", more="Expect: 100-continue\r\n")[:-4])
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
         program.counters()
         upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
@@ -189,7 +199,7 @@
         file = conn.makefile("rb")
         codes = [read_response(file)[0] for _ in range(21)]
         assert codes == [500] + [503] * 20
-        until(lambda: sum(len(upstream.got) for upstream in upstreams) == 2)
+        until(lambda: sum(len(upstream.received) for upstream in upstreams) == 2)
         for upstream in upstreams:
             upstream.release.set()  # type: ignore[attr-defined]
         assert read_response(file)[1].body == b"last"
@@ -200,17 +210,17 @@
 
 def test_requests_read_before_shutdown_get_their_responses(tmp_path: Path) -> None:
     with running(tmp_path, HeldUpstream()) as (program, (upstream,), _), program.connect() as conn:
-        conn.settimeout(WAIT)
+        conn.settimeout(TIMEOUT_S)
         conn.sendall(
             b"".join(request("pay", b"x", wait_ms=60_000) for _ in range(60))
             + HEALTH_REQUEST
             + request("odd")
         )
-        until(lambda: len(upstream.got) == 1)
+        until(lambda: len(upstream.received) == 1)
         program.process.send_signal(signal.SIGTERM)
         codes = read_status_codes(conn)
         assert len(codes) == 62 and set(codes[:60]) <= {500, 503} and codes[60:] == [503, 400]
-        assert program.process.wait(WAIT) == 0 and program.last_counters()["requests_unanswered"] == 0
+        assert program.process.wait(TIMEOUT_S) == 0 and program.last_counters()["requests_unanswered"] == 0
 
 
 # --- a client connection in the test's process -------------------------------------------------------------
@@ -283,7 +293,7 @@
         client_socket.sendall(PAY + LAST + PAY.replace(b"POST", b"PUT") + PAY)
         return await read_status_codes_to_end(client_socket), counters
 
-    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
+    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), TIMEOUT_S))
     assert codes == [b"200", b"200", b"500"] and counters["client_connection_faults"] == 1
 
 
@@ -298,7 +308,7 @@
         client_socket.sendall(b"".join(raw_requests) + HEALTH_REQUEST)
         return await read_status_codes_to_end(client_socket), counters
 
-    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
+    codes, counters = asyncio.run(asyncio.wait_for(run_scenario(), TIMEOUT_S))
     assert codes == [b"200"] * 2 + [b"500"] * 4
     assert (counters["client_connection_faults"], len(handler.request_ids)) == (1, 2)
 
@@ -341,7 +351,7 @@
         client_socket.close()
         return budgets
 
-    budgets = asyncio.run(asyncio.wait_for(run_scenario(), WAIT))
+    budgets = asyncio.run(asyncio.wait_for(run_scenario(), TIMEOUT_S))
     assert budgets[0] <= 5.0 and all(budget <= 4.8 for budget in budgets[1:])
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -24,16 +24,16 @@
 import pytest
 
 from tests.peers import (
-    CLIENTS,
+    CLIENT_HOST,
     ROOT,
     SETTINGS,
-    WAIT,
-    DiscoveryClient,
+    TIMEOUT_S,
+    DiscoveryServer,
     Message,
     entry,
     free_port,
+    make_endpoint_list,
     ok,
-    parse_endpoint_list,
     read_response,
     request,
     running,
@@ -48,18 +48,20 @@
 
 
 def hang(message: Message) -> bytes | None:
-    time.sleep(WAIT)
+    time.sleep(TIMEOUT_S)
     return None
 
 
 def test_requests_are_forwarded_unchanged_and_counted(tmp_path: Path) -> None:
     big = os.urandom(64 * 1024)
     with running(tmp_path, echo) as (program, upstreams, _):
-        code, answer = program.ask(request("order", big, 5000, "Idempotency-Key: k7\r\n", key="a/b?c=%20d"))
+        code, answer = program.exchange(
+            request("order", big, 5000, "Idempotency-Key: k7\r\n", key="a/b?c=%20d")
+        )
         assert (code, answer.body) == (200, big)
         until(lambda: program.counters()["upstream_connections_idle"] == 1)
-        assert program.ask(request("view"))[1].body == b"none"
-        first, second = upstreams[0].got
+        assert program.exchange(request("view"))[1].body == b"none"
+        first, second = upstreams[0].received
         assert first.line == "POST /order/a/b?c=%20d HTTP/1.1" and first.body == big
         assert first.headers["idempotency-key"] == "k7" and len(first.headers["request-id"]) == 16
         assert 0 < int(first.headers["request-timeout-ms"]) <= 5000
@@ -89,7 +91,7 @@
         assert read_response(file)[1].body == b"late"
         conn.sendall(request(more="Connection: close\r\n"))
         assert read_response(file)[0] == 200 and file.read() == b""
-        assert len(upstreams[0].got) == 5
+        assert len(upstreams[0].received) == 5
 
 
 @pytest.mark.parametrize(
@@ -111,8 +113,8 @@
             conn.sendall(sent)
             file = conn.makefile("rb")
             assert read_response(file)[0] == code and file.read() == b""
-        assert program.ask(b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 400
-        assert upstreams[0].got == [] and program.ask(request())[0] == 200
+        assert program.exchange(b"GET /odd HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 400
+        assert upstreams[0].received == [] and program.exchange(request())[0] == 200
 
 
 @pytest.mark.parametrize(
@@ -138,8 +140,8 @@
     """Rule 2: only the header Not-Started of the upstream proves that an unsafe request has not run."""
 
     with running(tmp_path, lambda message: answer) as (program, upstreams, _):
-        assert program.ask(request("pay", b"x", 400))[0] == code
-        assert len(upstreams[0].got) == 1 and program.process.poll() is None
+        assert program.exchange(request("pay", b"x", 400))[0] == code
+        assert len(upstreams[0].received) == 1 and program.process.poll() is None
 
 
 @pytest.mark.parametrize("leading", [b"", b"HTTP/1.1 102 Processing\r\n\r\n" * 3])
@@ -149,7 +151,7 @@
 ) -> None:
     with running(tmp_path, lambda m: leading + ok(m.body) + trailing) as (program, _, _d):
         for body in (b"first", b"second", b"third"):
-            code, answer = program.ask(request("pay", body))
+            code, answer = program.exchange(request("pay", body))
             assert (code, answer.body) == (200, body)
         assert program.counters()["upstream_connections"] == 3
 
@@ -157,7 +159,7 @@
 def test_rejected_request_is_served_elsewhere(tmp_path: Path) -> None:
     rejection = status(503, "Not-Started: 1\r\n")
     with running(tmp_path, lambda m: rejection, echo, lambda m: rejection) as (program, _, _d):
-        got = [program.ask(request("pay", b"x", 600))[0] for _ in range(8)]
+        got = [program.exchange(request("pay", b"x", 600))[0] for _ in range(8)]
         assert 200 in got and set(got) <= {200, 503}
 
 
@@ -169,40 +171,40 @@
             conn.connect_ex(full.getsockname())
         with running(tmp_path, echo) as (program, upstreams, discovery):
             unreachable = entry("s-9", full.getsockname()[1])
-            both = parse_endpoint_list(entry("s-0", upstreams[0].port), unreachable, index=2)
+            both = make_endpoint_list(entry("s-0", upstreams[0].port), unreachable, index=2)
             discovery.push(json.dumps(both).encode())
             until(lambda: program.counters().get("endpoint_lists") == 1)
-            codes = [program.ask(request("pay", b"x", 240))[0] for _ in range(30)]
+            codes = [program.exchange(request("pay", b"x", 240))[0] for _ in range(30)]
             assert set(codes) == {200} and program.counters()["attempt_no_connection"] > 0
 
 
 def test_rule_1_hung_upstreams_do_not_delay_the_answer_past_the_deadline(tmp_path: Path) -> None:
     with running(tmp_path, hang, hang) as (program, _, _d):
-        assert program.ask(request("pay", b"x", 300))[0] == 500
+        assert program.exchange(request("pay", b"x", 300))[0] == 500
         assert program.counters()["attempt_cancelled"] == 1
 
 
 def test_rule_3_no_request_goes_to_a_draining_upstream(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo) as (program, upstreams, discovery):
-        update = parse_endpoint_list(entry("s-0", upstreams[0].port, "Terminating"), index=2, whole=False)
+        update = make_endpoint_list(entry("s-0", upstreams[0].port, "Terminating"), index=2, snapshot=False)
         discovery.push(json.dumps(update).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(12):
-            assert program.ask(request())[0] == 200
-        assert upstreams[0].got == [] and len(upstreams[1].got) == 12
-        discovery.push(json.dumps(parse_endpoint_list(index=3)).encode())
-        until(lambda: program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503)
+            assert program.exchange(request())[0] == 200
+        assert upstreams[0].received == [] and len(upstreams[1].received) == 12
+        discovery.push(json.dumps(make_endpoint_list(index=3)).encode())
+        until(lambda: program.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503)
 
 
 def test_rule_4_a_new_upstream_gets_fewer_requests(tmp_path: Path) -> None:
     with running(tmp_path, echo, echo) as (program, upstreams, discovery):
         new = entry("s-9", upstreams[0].port, since_ms=int(time.time() * 1000))
         old = entry("s-1", upstreams[1].port)
-        discovery.push(json.dumps(parse_endpoint_list(new, old, index=2)).encode())
+        discovery.push(json.dumps(make_endpoint_list(new, old, index=2)).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         for _ in range(60):
-            assert program.ask(request())[0] == 200
-        assert 0 < len(upstreams[0].got) < 25
+            assert program.exchange(request())[0] == 200
+        assert 0 < len(upstreams[0].received) < 25
 
 
 def test_watch_that_ends_or_is_malformed_is_reopened(tmp_path: Path) -> None:
@@ -210,30 +212,30 @@
         discovery.push(b"")
         discovery.push(b"{not json")
         until(lambda: len(discovery.watches) == 2)
-        changed = parse_endpoint_list(entry("s-0", upstreams[0].port), index=9, whole=False)
+        changed = make_endpoint_list(entry("s-0", upstreams[0].port), index=9, snapshot=False)
         discovery.push(json.dumps(changed).encode())
         until(lambda: program.counters().get("endpoint_lists") == 1)
         discovery.watches[-1].shutdown(socket.SHUT_RDWR)
         until(lambda: len(discovery.watches) == 3)
-        assert discovery.got[-1].line == "GET /catalog/members?watch=1&after=9 HTTP/1.1"
-        assert program.ask(request())[0] == 200 and program.counters()["watches_ended"] == 2
+        assert discovery.received[-1].line == "GET /catalog/members?watch=1&after=9 HTTP/1.1"
+        assert program.exchange(request())[0] == 200 and program.counters()["watches_ended"] == 2
 
 
 def test_sighup_during_the_first_read_of_the_configuration_reloads_it_at_start(tmp_path: Path) -> None:
     """Guards against a SIGHUP during the first read of the configuration that ends the program. The
     configuration is a named pipe, so that the program blocks on it; the file that replaces it holds another
     address of discovery."""
-    old, new, path = DiscoveryClient(), DiscoveryClient(), tmp_path / "config.json"
+    old, new, path = DiscoveryServer(), DiscoveryServer(), tmp_path / "config.json"
     data = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "seed": "1",
-        "known": parse_endpoint_list(),
+        "known": make_endpoint_list(),
         "settings": SETTINGS,
         "discovery": f"127.0.0.1:{old.port}",
     }
     moved = tmp_path / "moved.json"
-    data["listen"] = f"{CLIENTS}:{free_port(CLIENTS)}"
+    data["listen"] = f"{CLIENT_HOST}:{free_port(CLIENT_HOST)}"
     moved.write_text(json.dumps({**data, "discovery": f"127.0.0.1:{new.port}"}))
     os.mkfifo(path)
     process = start(path, (tmp_path / "log").open("wb"))
@@ -245,7 +247,7 @@
         until(lambda: bool(new.watches) or process.poll() is not None)
         assert process.poll() is None and len(new.watches) == 1
         process.send_signal(signal.SIGTERM)
-        assert process.wait(WAIT) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
         process.wait()
@@ -270,10 +272,10 @@
             program.config.write_text(text)
             program.process.send_signal(signal.SIGHUP)
             # One at a time: pending signals of the same number are merged.
-            until(partial(program.logged, "the configuration is unchanged", number))
+            until(partial(program.has_logged, "the configuration is unchanged", number))
         until(lambda: program.counters()["reloads_failed"] == 3)
         for version in (2, 3):
-            newer = DiscoveryClient()
+            newer = DiscoveryServer()
             program.config.write_text(json.dumps({**good, "discovery": f"127.0.0.1:{newer.port}"}))
             for _ in range(version):  # several signals at once move the watch only once
                 program.process.send_signal(signal.SIGHUP)
@@ -281,7 +283,7 @@
             # The old watch ends once the new one is open; this does not count as a failure.
             assert discovery.watches[-1].recv(1) == b""
             endpoint = entry("s-0", upstreams[0].port, "Terminating" if version == 2 else "Ready")
-            newer.push(json.dumps(parse_endpoint_list(endpoint, index=version, whole=False)).encode())
+            newer.push(json.dumps(make_endpoint_list(endpoint, index=version, snapshot=False)).encode())
             until(lambda: program.counters().get("endpoint_lists") == version - 1)  # noqa: B023
             discovery.close()
             discovery = newer
@@ -290,7 +292,7 @@
         program.process.send_signal(signal.SIGHUP)
         program.process.send_signal(signal.SIGTERM)
         program.process.send_signal(signal.SIGHUP)
-        assert program.ask(request())[0] == 200 and program.process.wait(WAIT) == 0
+        assert program.exchange(request())[0] == 200 and program.process.wait(TIMEOUT_S) == 0
         discovery.close()
 
 
@@ -298,7 +300,7 @@
     with running(tmp_path, hang) as (program, upstreams, _):
         with program.connect() as conn:
             conn.sendall(request("pay", b"x"))
-            until(lambda: len(upstreams[0].got) == 1)
+            until(lambda: len(upstreams[0].received) == 1)
             assert program.counters()["requests_unanswered"] == 1
         until(lambda: program.counters().get("clients_disconnected") == 1)
         assert program.counters()["requests_unanswered"] == 0
@@ -307,9 +309,9 @@
 def test_idle_connection_that_the_upstream_closed_is_not_reused(tmp_path: Path) -> None:
     with running(tmp_path, lambda message: b"!" + echo(message)) as (program, upstreams, _):
         for count in (1, 2):
-            assert program.ask(request("pay", b"x"))[0] == 200
-            until(lambda: upstreams[0].closed == count)  # noqa: B023
-        assert program.counters()["upstream_connections"] == 2 and len(upstreams[0].got) == 2
+            assert program.exchange(request("pay", b"x"))[0] == 200
+            until(lambda: upstreams[0].connections_closed == count)  # noqa: B023
+        assert program.counters()["upstream_connections"] == 2 and len(upstreams[0].received) == 2
 
 
 def test_program_survives_running_out_of_descriptors(tmp_path: Path) -> None:
@@ -325,7 +327,7 @@
 
         def served() -> bool:
             with contextlib.suppress(OSError):
-                return program.ask(request())[0] == 200
+                return program.exchange(request())[0] == 200
             return False
 
         until(served)
@@ -387,7 +389,7 @@
             conn.sendall(sent)
             while data := conn.recv(1000):
                 got += data
-        assert time.monotonic() - began < 3.0 and got.startswith(expected) and upstreams[0].got == []
+        assert time.monotonic() - began < 3.0 and got.startswith(expected) and upstreams[0].received == []
 
 
 def test_responses_end_their_connection_when_clients_hold_many(tmp_path: Path) -> None:
@@ -406,7 +408,7 @@
     respond = threading.Event()
 
     def slow(message: Message) -> bytes:
-        respond.wait(WAIT)
+        respond.wait(TIMEOUT_S)
         return echo(message)
 
     with (
@@ -415,14 +417,14 @@
         program.connect() as conn,
     ):
         conn.sendall(request("pay", b"x", 15_000))
-        until(lambda: len(upstreams[0].got) == 1)
+        until(lambda: len(upstreams[0].received) == 1)
         program.process.send_signal(signal.SIGTERM)
         # The idle connection is closed once no new request is accepted; the one with a request stays open.
         assert idle.recv(1) == b""
         respond.set()
         code, answer = read_response(conn.makefile("rb"))
         assert (code, answer.body, answer.headers["connection"]) == (200, b"x", "close")
-        assert program.process.wait(WAIT) == 0
+        assert program.process.wait(TIMEOUT_S) == 0
         counters = program.last_counters()
         assert (counters["requests_unanswered"], counters["requests_served"]) == (0, 1)
 
@@ -461,7 +463,7 @@
             return False
 
         until(is_shed)
-        until(lambda: program.ask(request())[0] == 200)
+        until(lambda: program.exchange(request())[0] == 200)
 
 
 def test_fast_upstreams_are_sent_requests_for_good_without_hedging(tmp_path: Path) -> None:
@@ -486,7 +488,7 @@
     """Guards against a signal that kills the process because it comes after the handlers were removed."""
     for _ in range(3):
         with running(tmp_path, echo) as (program, _, _discovery):
-            assert program.ask(request())[0] == 200
+            assert program.exchange(request())[0] == 200
             program.process.send_signal(signal.SIGTERM)
             while program.process.poll() is None:
                 program.process.send_signal(number)
@@ -504,8 +506,8 @@
         return echo(message)
 
     with running(tmp_path, late) as (program, (upstream,), _discovery):
-        assert program.ask(request(class_name, body))[0] == code
-        assert len(upstream.got) == 1
+        assert program.exchange(request(class_name, body))[0] == code
+        assert len(upstream.received) == 1
         served = int(code == 200)
         counters = program.counters()
         assert (
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,7 +22,7 @@
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import ShutdownTimes
 from indigokeel.requests.coordinator import RequestCoordinator
-from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_response, request, running, until
+from tests.peers import SETTINGS, TIMEOUT_S, Message, Program, echo, read_response, request, running, until
 from tests.test_supervision import Fault, RunningSidecar
 
 STARVED_S = 0.05  # a run in which the machine itself paused for this long proves nothing
@@ -87,7 +87,7 @@
 
     def join(self) -> None:
         for thread in self.threads:
-            thread.join(WAIT)
+            thread.join(TIMEOUT_S)
         self.conn.close()
 
 
@@ -117,7 +117,7 @@
 
     def slow(message: Message) -> bytes:
         if message.headers["request-id"].endswith(("0", "7")):
-            stop.wait(WAIT)
+            stop.wait(TIMEOUT_S)
         return echo(message)
 
     with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, upstreams, _):
@@ -139,7 +139,7 @@
         if code != 0:
             wrong.append(f"exited with {code}")
         answered = {name for client in clients for name in client.sent_ids[: client.answers]}
-        seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.got}
+        seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.received}
         wrong += sorted(seen - answered)
         if code == 0:
             counters = program.last_counters()
@@ -183,14 +183,14 @@
     """Here the time to accept requests ends at once, and the time to read from connections much later."""
 
     def plan(now: float, *_: float) -> ShutdownTimes:
-        return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
+        return ShutdownTimes(now, now + TIMEOUT_S, now, now + TIMEOUT_S, now + TIMEOUT_S, now + TIMEOUT_S)
 
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(ShutdownTimes, "plan", plan)
     running = RunningSidecar(tmp_path)
 
     async def script() -> None:
-        with socket.create_connection(running.listener.getsockname(), timeout=WAIT) as conn:
+        with socket.create_connection(running.listener.getsockname(), timeout=TIMEOUT_S) as conn:
             first = request("pay", b"first")
             conn.sendall(first[:-1])  # a partial request keeps the connection open
             await asyncio.sleep(0.05)
@@ -200,7 +200,7 @@
             conn.sendall(first[-1:])
             code, answer = await asyncio.to_thread(read_response, conn.makefile("rb"))
             assert code == 503 and answer.headers["connection"] == "close"
-            assert running.upstream.got == []
+            assert running.upstream.received == []
 
     running.run_script(script)
 
@@ -236,7 +236,7 @@
 
     async def script() -> None:
         answer = asyncio.create_task(asyncio.to_thread(running.ask, request("pay", b"1")))
-        while not running.upstream.got or running.counters["client_connections"] < 2:
+        while not running.upstream.received or running.counters["client_connections"] < 2:
             await asyncio.sleep(0.001)
         fault.times = 10**6
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_state_folder.py
+++ b/tests/test_state_folder.py
@@ -23,7 +23,7 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from tests.conftest import make_settings
 from tests.faulty_program import Faults
-from tests.peers import WAIT, Peer, Program, request, until
+from tests.peers import TIMEOUT_S, Peer, Program, request, until
 from tests.test_clocks import restartable_sidecar
 
 READING = ClockReading(1000.0, "b1")
@@ -125,13 +125,13 @@
         await persistence.restore()
         tasks = [asyncio.create_task(persistence.synchronise(lambda: False))]
         states: set[str] = set()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while len(states) < 4:  # unsynced states are written, and no file is removed for them
                 states.update(os.listdir(tmp_path))
                 await asyncio.sleep(0.01)
         assert valid_path.exists()
         tasks.append(asyncio.create_task(persistence.keep_cordons_stored()))
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while valid_path.exists():
                 await asyncio.sleep(0.01)
             for name in os.listdir(tmp_path):  # as a cleaner of temporary files would do
@@ -189,10 +189,10 @@
 
 def _count_requests_to(upstream: Peer, program: Program) -> int:
     """Return how many of 40 requests go to an upstream."""
-    count_before = len(upstream.got)
+    count_before = len(upstream.received)
     for _ in range(40):
-        assert program.ask(request())[0] == 200
-    return len(upstream.got) - count_before
+        assert program.exchange(request())[0] == 200
+    return len(upstream.received) - count_before
 
 
 @pytest.mark.parametrize(
@@ -213,7 +213,7 @@
 ) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 2) as (start, upstreams, _):
         old = start(**_fault_environment(tmp_path, **faults))
-        until(lambda: old.call("PUT", "cordon", "s-0") == 200)
+        until(lambda: old.call_admin("PUT", "cordon", "s-0") == 200)
         old.process.kill()
         new = start(**(_fault_environment(tmp_path, **faults) if "listdir" in faults else {}))
         assert _count_requests_to(upstreams[0], new) == 0 and new.counters()["cordoned"] == 1
@@ -224,7 +224,7 @@
 ) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 2) as (start, upstreams, _):
         old = start(**_fault_environment(tmp_path, write=("ENOSPC", ALWAYS)))
-        assert {old.call("PUT", "cordon", "s-0") for _ in range(2)} == {503}
+        assert {old.call_admin("PUT", "cordon", "s-0") for _ in range(2)} == {503}
         assert _count_requests_to(upstreams[0], old) == 0  # the cordon is active in this process all the same
         assert old.log.read_text().count("cordons are not on disk") == 1
         (tmp_path / "off").touch()
@@ -236,11 +236,11 @@
 def test_storing_a_cordon_is_retried_during_shutdown(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 2) as (start, upstreams, _):
         old = start(**_fault_environment(tmp_path, write=("EIO", ALWAYS)))
-        assert old.call("PUT", "cordon", "s-0") == 503
+        assert old.call_admin("PUT", "cordon", "s-0") == 503
         old.process.send_signal(signal.SIGTERM)
         until(lambda: "stopping" in old.log.read_text())
         (tmp_path / "off").touch()
-        assert old.process.wait(WAIT) == 0
+        assert old.process.wait(TIMEOUT_S) == 0
         assert _count_requests_to(upstreams[0], start()) == 0
 
 
@@ -249,10 +249,10 @@
 ) -> None:
     with restartable_sidecar(tmp_path, monkeypatch, 2) as (start, upstreams, _):
         old = start(**_fault_environment(tmp_path, fsync=("HANG", ALWAYS)))
-        assert old.call("PUT", "cordon", "s-0") == 503
+        assert old.call_admin("PUT", "cordon", "s-0") == 503
         assert _count_requests_to(upstreams[0], old) == 0
         old.process.send_signal(signal.SIGTERM)
-        assert old.process.wait(WAIT) == 0
+        assert old.process.wait(TIMEOUT_S) == 0
         assert _count_requests_to(upstreams[0], start()) == 0  # restored from the unsynced file
 
 
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -29,14 +29,14 @@
 from indigokeel.requests.coordinator import RequestCoordinator
 from tests import peers
 from tests.peers import (
-    OPERATORS,
+    ADMIN_HOST,
     SETTINGS,
-    WAIT,
+    TIMEOUT_S,
     Peer,
     echo,
     entry,
     free_port,
-    parse_endpoint_list,
+    make_endpoint_list,
     read_response,
     request,
 )
@@ -70,7 +70,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -79,14 +79,14 @@
     """The sidecar in this process, on its production event loop (uvloop), with one upstream and discovery."""
 
     def __init__(self, tmp: Path, settings: dict[str, Any] = SETTINGS) -> None:
-        self.upstream, self.discovery = Peer(echo), peers.DiscoveryClient()
-        self.path, self.mgmt = tmp / "config.json", free_port(OPERATORS)
+        self.upstream, self.discovery = Peer(echo), peers.DiscoveryServer()
+        self.path, self.mgmt = tmp / "config.json", free_port(ADMIN_HOST)
         self.data = {
             "name": "n0",
             "listen": "127.0.0.1:1",  # not used: the listener is passed to run()
             "discovery": f"127.0.0.1:{self.discovery.port}",
-            "mgmt": f"{OPERATORS}:{self.mgmt}",
-            "known": parse_endpoint_list(entry("s-0", self.upstream.port)),
+            "mgmt": f"{ADMIN_HOST}:{self.mgmt}",
+            "known": make_endpoint_list(entry("s-0", self.upstream.port)),
             "settings": settings,
         }
         self.path.write_text(json.dumps(self.data))
@@ -105,7 +105,7 @@
             await until(lambda: self.sidecar.accepting or served.done())
             await script()
             os.kill(os.getpid(), signal.SIGTERM)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(TIMEOUT_S):
                 await served
 
         try:
@@ -119,7 +119,7 @@
         assert await asyncio.to_thread(self.ask, request("view")) == 200
 
     def ask(self, raw: bytes) -> int:
-        with socket.create_connection(self.listener.getsockname(), timeout=WAIT) as conn:
+        with socket.create_connection(self.listener.getsockname(), timeout=TIMEOUT_S) as conn:
             conn.sendall(raw)
             return read_response(conn.makefile("rb"))[0]
 
@@ -162,7 +162,7 @@
     fault = Fault(monkeypatch, owner, method, 2)
 
     async def script() -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TIMEOUT_S):
             while fault.calls < 3:
                 await running.check_serves()  # the rate of health checks follows that of requests
         await running.check_serves()
@@ -182,7 +182,7 @@
 
     async def script() -> None:
         answer = asyncio.create_task(asyncio.to_thread(running.ask, request("pay", b"1", wait_ms=300)))
-        await until(lambda: len(running.upstream.got) == 1)
+        await until(lambda: len(running.upstream.received) == 1)
         fault.times = fault.calls + 3
         assert await answer == 500
 
@@ -207,7 +207,7 @@
 
     async def script() -> None:
         address = running.listener.getsockname()
-        conns = [socket.create_connection(address, timeout=WAIT) for _ in range(3)]
+        conns = [socket.create_connection(address, timeout=TIMEOUT_S) for _ in range(3)]
         await until(lambda: len(checks) >= 3 and min(checks.values()) >= 3)
         for conn in conns:
             conn.close()
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -16,7 +16,19 @@
 
 import pytest
 
-from tests.peers import WAIT, Message, Peer, Program, Raw, echo, ok, read_response, request, running, until
+from tests.peers import (
+    TIMEOUT_S,
+    Message,
+    Peer,
+    Program,
+    RawUpstream,
+    echo,
+    ok,
+    read_response,
+    request,
+    running,
+    until,
+)
 from tests.test_shutdown import STARVED_S, Witness, deadlines
 
 DEADLINE_S = 0.5
@@ -40,7 +52,7 @@
 
     def end(self) -> None:
         self._ended.set()
-        self._thread.join(WAIT)
+        self._thread.join(TIMEOUT_S)
         if self._thread.is_alive():
             self.violations.append("still waiting for an answer")
 
@@ -90,14 +102,14 @@
             conn.sendall(chunk)
             time.sleep(pause)
 
-    return lambda: Raw(answer)
+    return lambda: RawUpstream(answer)
 
 
 def stopping() -> Peer:
     """Return an upstream that stops listening after a few requests."""
 
     def serve(message: Message) -> bytes | None:
-        if len(peer.got) < 8:
+        if len(peer.received) < 8:
             return echo(message)
         peer.close()
         return None
@@ -110,7 +122,7 @@
     ended = threading.Event()
 
     def wait(_: Message) -> None:
-        ended.wait(4.0 * WAIT)
+        ended.wait(4.0 * TIMEOUT_S)
 
     return Peer(wait)
 
@@ -186,14 +198,14 @@
         until(lambda: all(len(c.answered) >= expected for c, expected in zip(clients, targets, strict=True)))
         lost = sum(len(client.lost) for client in clients)
         program.process.send_signal(signal.SIGTERM)
-        code = program.process.wait(WAIT)
+        code = program.process.wait(TIMEOUT_S)
         for client in clients:
             client.end()
         ended.set()
-        disturber.join(WAIT)
+        disturber.join(TIMEOUT_S)
         longest_stall_s = witness.end()
         violations: list[object] = [fault for client in clients for fault in client.violations]
-        forwarded = [message.headers["request-id"] for peer in peers for message in peer.got]
+        forwarded = [message.headers["request-id"] for peer in peers for message in peer.received]
         unanswered = {name for client in clients for name in client.lost} & set(forwarded)
         violations += [f"forwarded but not answered: {name}" for name in unanswered]
         if lost and disturbance is no_disturbance:
--- a/tests/test_upgrades.py
+++ b/tests/test_upgrades.py
@@ -16,23 +16,23 @@
 import pytest
 
 from tests.peers import (
-    BLOCK,
-    SIZE,
-    WAIT,
-    DiscoveryClient,
+    LONG_RESPONSE_BLOCK,
+    LONG_RESPONSE_SIZE,
+    TIMEOUT_S,
+    DiscoveryServer,
     Message,
     Peer,
     Program,
-    Raw,
+    RawUpstream,
+    admin_environment,
     echo,
     entry,
-    long_answer,
-    operators,
-    parse_endpoint_list,
+    make_endpoint_list,
+    program_rss_kb,
     read_response,
     request,
-    rss,
     running,
+    send_long_response,
     until,
 )
 from tests.peers import start as start_process
@@ -42,12 +42,12 @@
 def _platform(tmp: Path, *scripts: Any) -> Iterator[tuple[socket.socket, list[Peer], Any]]:
     """Yield a listener that the platform owns, upstreams, and a function that starts a process on it."""
     upstreams = [script if isinstance(script, Peer) else Peer(script) for script in scripts]
-    discovery, programs = DiscoveryClient(), list[Program]()
-    known = parse_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
+    discovery, programs = DiscoveryServer(), list[Program]()
+    known = make_endpoint_list(*(entry(f"s-{i}", upstream.port) for i, upstream in enumerate(upstreams)))
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
 
         def start() -> Program:
-            programs.append(Program(tmp, known, discovery.port, 256, listener, **operators(tmp)))
+            programs.append(Program(tmp, known, discovery.port, 256, listener, **admin_environment(tmp)))
             return programs[-1]
 
         try:
@@ -78,7 +78,7 @@
             while not stop.is_set():
                 try:
                     if conn is None:
-                        conn = socket.create_connection(address, timeout=WAIT)
+                        conn = socket.create_connection(address, timeout=TIMEOUT_S)
                         file = conn.makefile("rb")
                     number = next(numbers)
                     conn.sendall(request("pay", b"%d" % number))
@@ -110,7 +110,7 @@
             ended.append(old)
             old = new
         for program in ended:
-            assert program.process.wait(WAIT) == 0
+            assert program.process.wait(TIMEOUT_S) == 0
         stop.set()
         for worker in workers:
             worker.join()
@@ -121,18 +121,18 @@
 def test_cordon_survives_an_upgrade_and_is_shared_in_both_directions(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo, echo) as (_, upstreams, start):
         old = start()
-        assert old.call("PUT", "cordon", "s-0") == 200
+        assert old.call_admin("PUT", "cordon", "s-0") == 200
         new = start()
         assert new.counters()["cordoned"] == 1
-        assert new.call("PUT", "cordon", "s-1") == 200
+        assert new.call_admin("PUT", "cordon", "s-1") == 200
         until(lambda: old.counters()["cordoned"] == 2)
-        assert old.call("PUT", "uncordon", "s-0") == 200
+        assert old.call_admin("PUT", "uncordon", "s-0") == 200
         until(lambda: new.counters()["cordoned"] == 1)
         old.process.send_signal(signal.SIGTERM)
-        count = len(upstreams[1].got)
+        count = len(upstreams[1].received)
         for _ in range(20):
-            assert new.ask(request())[0] == 200
-        assert len(upstreams[1].got) == count and old.process.wait(WAIT) == 0
+            assert new.exchange(request())[0] == 200
+        assert len(upstreams[1].received) == count and old.process.wait(TIMEOUT_S) == 0
 
 
 def test_cordon_holds_under_load_during_upgrades(tmp_path: Path) -> None:
@@ -143,9 +143,9 @@
         def client() -> None:
             while not stop.is_set():
                 if pause.is_set():  # all clients pause, then all resume
-                    barrier.wait(WAIT)
-                    barrier.wait(WAIT)
-                with socket.create_connection(address, timeout=WAIT) as conn:
+                    barrier.wait(TIMEOUT_S)
+                    barrier.wait(TIMEOUT_S)
+                with socket.create_connection(address, timeout=TIMEOUT_S) as conn:
                     conn.sendall(request())
                     code, answer = read_response(conn.makefile("rb"))
                     if code != 200 and "retry-after" not in answer.headers:
@@ -155,21 +155,21 @@
         old = start()
         for worker in workers:
             worker.start()
-        until(lambda: len(upstreams[0].got) > 5)
-        assert old.call("PUT", "cordon", "s-0") == 200
+        until(lambda: len(upstreams[0].received) > 5)
+        assert old.call_admin("PUT", "cordon", "s-0") == 200
         pause.set()
-        barrier.wait(WAIT)  # no request is open: those sent before the cordon was confirmed have ended
-        count = len(upstreams[0].got)
+        barrier.wait(TIMEOUT_S)  # no request is open: those sent before the cordon was confirmed have ended
+        count = len(upstreams[0].received)
         pause.clear()
-        barrier.wait(WAIT)
+        barrier.wait(TIMEOUT_S)
         for _ in range(3):
             new = start()
             old.process.send_signal(signal.SIGTERM)
-            assert old.process.wait(WAIT) == 0
+            assert old.process.wait(TIMEOUT_S) == 0
             old = new
-        assert len(upstreams[0].got) == count
-        assert old.call("PUT", "uncordon", "s-0") == 200
-        until(lambda: len(upstreams[0].got) > count)
+        assert len(upstreams[0].received) == count
+        assert old.call_admin("PUT", "uncordon", "s-0") == 200
+        until(lambda: len(upstreams[0].received) > count)
         stop.set()
         for worker in workers:
             worker.join()
@@ -179,16 +179,16 @@
 def test_process_killed_before_it_is_ready_leaves_the_old_one_unaffected(tmp_path: Path) -> None:
     with _platform(tmp_path, echo, echo) as (listener, upstreams, start):
         old = start()
-        assert old.call("PUT", "cordon", "s-0") == 200
-        count = len(upstreams[0].got)
+        assert old.call_admin("PUT", "cordon", "s-0") == 200
+        count = len(upstreams[0].received)
         for wait in (0.0, 0.05, 0.1, 0.2):
-            new = start_process(old.config, subprocess.DEVNULL, listener, **operators(tmp_path))
+            new = start_process(old.config, subprocess.DEVNULL, listener, **admin_environment(tmp_path))
             time.sleep(wait)
             new.kill()
             new.wait()
             for _ in range(3):
-                assert old.ask(request())[0] == 200
-        assert len(upstreams[0].got) == count and old.counters()["cordoned"] == 1
+                assert old.exchange(request())[0] == 200
+        assert len(upstreams[0].received) == count and old.counters()["cordoned"] == 1
 
 
 def test_request_partly_sent_to_the_old_process_is_answered_by_it(tmp_path: Path) -> None:
@@ -201,43 +201,45 @@
             new = start()
             old.process.send_signal(signal.SIGTERM)
             until(lambda: "stopping" in old.log.read_text())
-            assert new.ask(request())[0] == 200
+            assert new.exchange(request())[0] == 200
             conn.sendall(raw[-6:])
             other.sendall(request())  # on a connection that was idle when the signal came
             for each in (conn, other):
                 code, answer = read_response(each.makefile("rb"))
                 assert (code, answer.headers["connection"]) == (200, "close")
-        assert old.process.wait(WAIT) == 0
+        assert old.process.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("keeps_reading", [True, False])
 def test_old_process_completes_a_32_mb_response_or_cuts_it_off_visibly(
     tmp_path: Path, keeps_reading: bool
 ) -> None:
-    with _platform(tmp_path, Raw(long_answer)) as (_, _nodes, start):
+    with _platform(tmp_path, RawUpstream(send_long_response)) as (_, _nodes, start):
         old = start()
         with old.connect() as conn:
             conn.sendall(request())
             file = conn.makefile("rb")
             while file.readline().strip():
                 pass
-            assert file.read(len(BLOCK)) == BLOCK
+            assert file.read(len(LONG_RESPONSE_BLOCK)) == LONG_RESPONSE_BLOCK
             new = start()
-            before = rss(old)
+            before = program_rss_kb(old)
             old.process.send_signal(signal.SIGTERM)
             until(lambda: "stopping" in old.log.read_text())
-            assert new.call("GET", "health") == 200
+            assert new.call_admin("GET", "health") == 200
             if keeps_reading:
-                for _ in range(SIZE // len(BLOCK) - 1):
-                    assert file.read(len(BLOCK)) == BLOCK
-                assert rss(old) - before < 4096  # kB
-            assert old.process.wait(WAIT) == 0  # without SIGKILL, whether or not the client reads
+                for _ in range(LONG_RESPONSE_SIZE // len(LONG_RESPONSE_BLOCK) - 1):
+                    assert file.read(len(LONG_RESPONSE_BLOCK)) == LONG_RESPONSE_BLOCK
+                assert program_rss_kb(old) - before < 4096  # kB
+            assert old.process.wait(TIMEOUT_S) == 0  # without SIGKILL, whether or not the client reads
             if not keeps_reading:
                 with contextlib.suppress(ConnectionError):
-                    assert len(file.read()) < SIZE - len(BLOCK)
+                    assert len(file.read()) < LONG_RESPONSE_SIZE - len(LONG_RESPONSE_BLOCK)
             last = old.last_counters()
             assert (
-                last["requests_unanswered"] == 0 and 0.0 < last["cpu_s"] < WAIT and new.process.poll() is None
+                last["requests_unanswered"] == 0
+                and 0.0 < last["cpu_s"] < TIMEOUT_S
+                and new.process.poll() is None
             )
 
 
@@ -249,18 +251,22 @@
             starting = threading.Thread(target=lambda to=found: to.append(start()))
             starting.start()
             time.sleep(wait)
-            assert old.call("PUT", call, "s-0") == 200
+            assert old.call_admin("PUT", call, "s-0") == 200
             starting.join()
             new = found[0]
             until(lambda one=new, out=call == "cordon": one.counters()["cordoned"] == out)  # type: ignore[misc]
-            count = len(upstreams[0].got)
+            count = len(upstreams[0].received)
             old.process.send_signal(signal.SIGTERM)
-            assert {new.ask(request())[0] for _ in range(10)} == {200}
+            assert {new.exchange(request())[0] for _ in range(10)} == {200}
             if call == "cordon":
-                assert len(upstreams[0].got) == count
+                assert len(upstreams[0].received) == count
             else:
-                until(lambda one=new, n=count: one.ask(request())[0] == 200 and len(upstreams[0].got) > n)  # type: ignore[misc]
-            assert old.process.wait(WAIT) == 0
+                until(
+                    lambda one=new, n=count: (  # type: ignore[misc]
+                        one.exchange(request())[0] == 200 and len(upstreams[0].received) > n
+                    )
+                )
+            assert old.process.wait(TIMEOUT_S) == 0
             old = new
 
 
@@ -273,9 +279,9 @@
         else:
             file.write_bytes(content)
         program = start()
-        assert program.ask(request())[0] == 200
+        assert program.exchange(request())[0] == 200
         assert program.log.read_text().count("state of the previous process ignored") == 1
-        assert program.call("PUT", "cordon", "s-0") == 200 and program.counters()["cordoned"] == 1
+        assert program.call_admin("PUT", "cordon", "s-0") == 200 and program.counters()["cordoned"] == 1
 
 
 @pytest.mark.parametrize("is_open", [True, False])
@@ -286,5 +292,5 @@
             process = start_process(good.config, subprocess.PIPE, near)
         else:
             process = start_process(good.config, subprocess.PIPE, BALANCER_LISTEN_FD="7")
-        output = process.communicate(timeout=WAIT)[1]
+        output = process.communicate(timeout=TIMEOUT_S)[1]
         assert process.returncode == 1 and b"descriptor 7 is no socket that listens" in output
--- a/tests/test_upstream_client.py
+++ b/tests/test_upstream_client.py
@@ -22,7 +22,7 @@
     """Return a coordinator whose only upstream, s-0, listens on a port."""
     coordinator = RequestCoordinator(decode_settings(peers.SETTINGS), 1, 0.0)
     entry = peers.entry("s-0", port)
-    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(entry)))
+    coordinator.update_endpoints(0.0, parse_endpoint_list(peers.make_endpoint_list(entry)))
     return coordinator
 
 
--- a/tests/test_upstream_deadlines.py
+++ b/tests/test_upstream_deadlines.py
@@ -71,7 +71,7 @@
     def update_endpoints(self, state: str) -> None:
         """Set the state of all upstreams."""
         entries = [peers.entry(name, self.port, state) for name in self.names]
-        self.coordinator.update_endpoints(0.0, parse_endpoint_list(peers.parse_endpoint_list(*entries)))
+        self.coordinator.update_endpoints(0.0, parse_endpoint_list(peers.make_endpoint_list(*entries)))
 
     def step(self, name: str) -> None:
         """Delay the process if this is the step at which to do so."""
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -22,7 +22,7 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.discovery import DiscoveryClient
 from tests import peers
-from tests.peers import entry, ok, parse_endpoint_list, request, running, until
+from tests.peers import entry, make_endpoint_list, ok, request, running, until
 
 # Seconds after which the sidecar counts as notified of a change that a silent watch missed.
 NOTIFIED_AFTER_S = 6.0
@@ -198,7 +198,7 @@
     assert 10 <= len(scripted.calls) <= 25
 
 
-LISTS = [parse_endpoint_list(entry(f"s-{n}", 1000 + n), entry("s-9", 9000), index=n) for n in (1, 2, 3)]
+LISTS = [make_endpoint_list(entry(f"s-{n}", 1000 + n), entry("s-9", 9000), index=n) for n in (1, 2, 3)]
 
 
 @pytest.mark.parametrize("indent", [None, 0, 1, 4, "\t"])
@@ -237,7 +237,7 @@
 # --- the real program -------------------------------------------------------------------------------------
 
 
-class Agent(peers.DiscoveryClient):
+class Agent(peers.DiscoveryServer):
     """A discovery service that answers watches only once ``let`` is set."""
 
     def __init__(self) -> None:
@@ -246,7 +246,7 @@
 
     def _serve_connection(self, conn: socket.socket) -> None:
         self.asked.set()
-        self.let.wait(peers.WAIT)
+        self.let.wait(peers.TIMEOUT_S)
         super()._serve_connection(conn)
 
 
@@ -259,16 +259,16 @@
     with running(tmp_path, ok_from(0), ok_from(1), settings=PUSHED) as (program, upstreams, discovery):
         until(lambda: bool(discovery.watches))
         drained = entry("s-0", upstreams[0].port, "Terminating")
-        discovery.push(json.dumps(parse_endpoint_list(drained, index=2, whole=False)).encode())
+        discovery.push(json.dumps(make_endpoint_list(drained, index=2, snapshot=False)).encode())
         until(lambda: program.counters()["endpoint_lists"] >= 1)
-        before = len(upstreams[0].got)
+        before = len(upstreams[0].received)
         for _ in range(30):
-            assert program.ask(request())[1].body == b"1"
-        assert len(upstreams[0].got) == before
+            assert program.exchange(request())[1].body == b"1"
+        assert len(upstreams[0].received) == before
         # A watch that ends is reopened without an action of the balancer.
         discovery.watches.pop().shutdown(socket.SHUT_RDWR)
         until(lambda: len(discovery.watches) == 1)
-        assert discovery.got[-1].line == "GET /catalog/members?watch=1&after=2 HTTP/1.1"
+        assert discovery.received[-1].line == "GET /catalog/members?watch=1&after=2 HTTP/1.1"
 
 
 def ok_from(number: int) -> Callable[[peers.Message], bytes]:
@@ -284,26 +284,29 @@
         upstreams,
         _,
     ):
-        assert agent.asked.wait(peers.WAIT)
+        assert agent.asked.wait(peers.TIMEOUT_S)
         until(program.ready)
-        assert program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503
+        assert program.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 503
         with program.connect() as conn:
             conn.sendall(request(wait_ms=20_000))
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
-            assert upstreams[0].got == upstreams[1].got == []
+            assert upstreams[0].received == upstreams[1].received == []
             agent.let.set()
             drained = entry("s-0", upstreams[0].port, "Terminating")
-            agent.push(json.dumps(parse_endpoint_list(drained, index=2, whole=False)).encode())
+            agent.push(json.dumps(make_endpoint_list(drained, index=2, snapshot=False)).encode())
             assert peers.read_response(conn.makefile("rb"))[1].body == b"1"
-        assert upstreams[0].got == [] and program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200
+        assert (
+            upstreams[0].received == []
+            and program.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200
+        )
 
 
 def test_silent_agent_does_not_prevent_the_program_from_serving(tmp_path: Path) -> None:
     agent = Agent()
     with running(tmp_path, ok_from(0), settings=PUSHED, discovery=agent) as (program, _, _d):
         started_at = time.monotonic()
-        until(lambda: program.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200)
-        assert program.ask(request())[0] == 200 and time.monotonic() - started_at < peers.WAIT
+        until(lambda: program.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200)
+        assert program.exchange(request())[0] == 200 and time.monotonic() - started_at < peers.TIMEOUT_S
         agent.let.set()
 
 
--- a/tests/unit/endpoints/test_endpoint_list.py
+++ b/tests/unit/endpoints/test_endpoint_list.py
@@ -8,7 +8,7 @@
 
 from indigokeel.balancing.events import EndpointState
 from indigokeel.endpoints.endpoint_list import EndpointListError, decode, parse_address
-from tests.peers import entry, parse_endpoint_list
+from tests.peers import entry, make_endpoint_list
 
 
 @pytest.mark.parametrize("text", ["", "a", "a:", ":1", "a:0", "a:65536", "a:x", "a:٣"])
@@ -24,7 +24,7 @@
 
 def test_endpoint_list_is_decoded() -> None:
     removed = {"name": "s-2", "status": "Gone"}
-    data = parse_endpoint_list(entry("s-1", 30, "Terminating", 3, 1500), removed, index=7, whole=False)
+    data = make_endpoint_list(entry("s-1", 30, "Terminating", 3, 1500), removed, index=7, snapshot=False)
     decoded = decode(json.dumps(data).encode())
     first, second = decoded.endpoints
     assert (decoded.version, decoded.is_snapshot) == (7, False)
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -10,14 +10,14 @@
 
 from indigokeel.balancing.settings import ClassSettings, Idempotency, Limits, LoadReportSource, Settings
 from indigokeel.config import ConfigError, decode_settings, load_config
-from tests.peers import SETTINGS, parse_endpoint_list
+from tests.peers import SETTINGS, make_endpoint_list
 
 CONFIG = {
     "name": "n3",
     "listen": "127.0.0.1:3000",
     "discovery": "127.0.0.1:85",
     "seed": "ff",
-    "known": parse_endpoint_list(),
+    "known": make_endpoint_list(),
     "settings": SETTINGS,
 }
 
