--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -72,7 +72,7 @@
         event = RequestArrived(name, class_name, budget, **more)
         return name, self.balancer.handle(self.now, event)
 
-    def end(
+    def end_attempt(
         self,
         send: SendAttempt,
         outcome: AttemptOutcome = AttemptOutcome.OK,
@@ -102,7 +102,7 @@
                 if attempt == 0:
                     first_attempts[send.upstream] = first_attempts.get(send.upstream, 0) + 1
                 ended = (outcome or {}).get(send.upstream, AttemptOutcome.OK)
-                actions = self.end(send, ended, attempt)
+                actions = self.end_attempt(send, ended, attempt)
                 attempt += 1
         return first_attempts
 
--- a/tests/support/balancing.py
+++ b/tests/support/balancing.py
@@ -25,7 +25,7 @@
         driver.now += 0.02
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
-        driver.end(send, load=loads.get(send.upstream))
+        driver.end_attempt(send, load=loads.get(send.upstream))
 
 
 def count_first_choices(driver: Driver, count: int = 600) -> dict[str, int]:
@@ -35,7 +35,7 @@
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
         counts[send.upstream] = counts.get(send.upstream, 0) + 1
-        driver.end(send, elapsed=0.12)
+        driver.end_attempt(send, elapsed=0.12)
     return counts
 
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -19,7 +19,7 @@
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, Handler
 from tests.peers import Message, Program, ok, read_response, request, running, status, until
-from tests.test_endings import BIG, DISCONNECTS
+from tests.test_endings import DISCONNECTS, LARGE_BODY
 
 SOCKETS = 64  # descriptors of the process, of which 17 are for clients
 MAX_CLIENTS = 17
@@ -100,7 +100,7 @@
     """The client reads slowly, so that the response is in the system's send buffer, and there is unread
     input: a close would reset the connection and discard the response."""
     with (
-        running(tmp_path, lambda _: ok(BIG), sockets=SOCKETS) as (program, _upstreams, _d),
+        running(tmp_path, lambda _: ok(LARGE_BODY), sockets=SOCKETS) as (program, _upstreams, _d),
         socket.socket() as conn,
     ):
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -117,10 +117,10 @@
             other = program.connect()
             others.append(other)
             other.sendall(request("pay", b"2"))
-            assert read_response(other.makefile("rb"))[1].body == BIG
+            assert read_response(other.makefile("rb"))[1].body == LARGE_BODY
         conn.settimeout(20.0)
         code, answer = read_response(conn.makefile("rb"))
-        assert (code, answer.body) == (200, BIG)
+        assert (code, answer.body) == (200, LARGE_BODY)
         for other in others:
             other.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,7 +35,7 @@
     until,
 )
 
-BIG = bytes(range(256)) * 256  # 64 KiB
+LARGE_BODY = bytes(range(256)) * 256  # 64 KiB
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
@@ -81,7 +81,7 @@
     """Closing a socket that has unread bytes resets the connection, and the response is lost. Here the bytes
     arrive before the upstream responds."""
     with (
-        running(tmp_path, HeldUpstream(lambda _: ok(BIG))) as (program, (upstream,), _),
+        running(tmp_path, HeldUpstream(lambda _: ok(LARGE_BODY))) as (program, (upstream,), _),
         program.connect() as conn,
     ):
         conn.sendall(request("pay", b"1", more="Connection: close\r\n"))
@@ -93,7 +93,7 @@
         upstream.release.set()  # type: ignore[attr-defined]
         file = conn.makefile("rb")
         code, answer = read_response(file)
-        assert (code, answer.body) == (200, BIG) and answer.headers["connection"] == "close"
+        assert (code, answer.body) == (200, LARGE_BODY) and answer.headers["connection"] == "close"
         assert file.read() == b"" and len(upstream.received) == 1
         until(lambda: program.counters()["client_connections_open"] == 1)  # only this client's
 
@@ -282,7 +282,7 @@
 
 def test_responses_still_buffered_at_sigterm_are_delivered(tmp_path: Path) -> None:
     """At SIGTERM the responses are in the event loop's write buffers: their client has not read them yet."""
-    with running(tmp_path, lambda _: ok(BIG)) as (program, _, _d), socket.socket() as conn:
+    with running(tmp_path, lambda _: ok(LARGE_BODY)) as (program, _, _d), socket.socket() as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         conn.settimeout(TIMEOUT_S)
         conn.connect(program.address)
@@ -295,7 +295,7 @@
             program.process.wait(1.2)
         file = conn.makefile("rb")
         for _ in range(8 * rounds):
-            assert read_response(file)[1].body == BIG
+            assert read_response(file)[1].body == LARGE_BODY
         assert file.read() == b"" and program.process.wait(TIMEOUT_S) == 0
 
 
@@ -397,7 +397,7 @@
             program.process.send_signal(signal.SIGTERM)
             assert read_response(conn.makefile("rb"))[0] in (200, 503)
             assert program.process.wait(TIMEOUT_S) == 0
-        agent.let.set()
+        agent.release.set()
 
 
 def _await_accepted(program: Program, count: int) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -263,7 +263,7 @@
             _, actions = driver.request("pay")
             for send in sent_attempts(actions):
                 how = AttemptOutcome.ERROR if send.upstream in failing else AttemptOutcome.OK
-                ended = driver.end(send, how)
+                ended = driver.end_attempt(send, how)
                 if how is AttemptOutcome.ERROR:
                     failures[send.upstream] += 1
                 for log in actions_of_type(ended, LogMessage):
@@ -289,6 +289,7 @@
         for send in sent_attempts(actions):
             how = AttemptOutcome.ERROR if random.random() < 0.15 else AttemptOutcome.OK
             ejections += sum(
-                log.text.startswith("ejected") for log in actions_of_type(driver.end(send, how), LogMessage)
+                log.text.startswith("ejected")
+                for log in actions_of_type(driver.end_attempt(send, how), LogMessage)
             )
     assert ejections <= 10
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -25,11 +25,11 @@
 from tests.peers import SETTINGS, TIMEOUT_S, Message, Program, echo, read_response, request, running, until
 from tests.test_supervision import Fault, RunningSidecar
 
-STARVED_S = 0.05  # a run in which the machine itself paused for this long proves nothing
+MAX_STALL_S = 0.05  # a run in which the machine itself paused for this long proves nothing
 MAX_RUNS = 10
 
 
-def deadlines(seconds: float) -> dict[str, Any]:
+def settings_with_deadline(seconds: float) -> dict[str, Any]:
     """Return the settings with the same deadline for all classes."""
     return {
         **SETTINGS,
@@ -91,7 +91,7 @@
         self.conn.close()
 
 
-class Witness:
+class StallDetector:
     """Detects that the machine paused: measures by how much short sleeps overrun."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
             time.sleep(0.005)
             self.worst = max(self.worst, time.monotonic() - began - 0.005)
 
-    def end(self) -> float:
+    def stop(self) -> float:
         self._ended.set()
         self._thread.join()
         return self.worst
@@ -120,18 +120,22 @@
             stop.wait(TIMEOUT_S)
         return echo(message)
 
-    with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, upstreams, _):
+    with running(tmp, echo, slow, settings=settings_with_deadline(deadline), listener=listener) as (
+        program,
+        upstreams,
+        _,
+    ):
         client_options = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
         clients = [Client(program, *options) for options in client_options]
         until(lambda: all(client.answers >= 3 for client in clients))
-        witness = Witness()
+        stall_detector = StallDetector()
         program.process.send_signal(signal.SIGTERM)
         kill_at = time.monotonic() + min(deadline, 3.0) + 0.7
         while time.monotonic() < kill_at and program.process.poll() is None:
             time.sleep(0.002)
         program.process.kill()
         code = program.process.wait()
-        worst = witness.end()
+        worst = stall_detector.stop()
         for client in clients:
             client.join()
         stop.set()
@@ -147,7 +151,7 @@
             read = counters["requests_accepted"] + sum(counters.get(name, 0) for name in rejected)
             if read != len(answered):
                 wrong.append(f"{read:.0f} read, {len(answered)} answered")
-    return worst < STARVED_S, wrong
+    return worst < MAX_STALL_S, wrong
 
 
 @pytest.mark.parametrize("shared", [False, True])
@@ -230,7 +234,7 @@
     gets a complete response. A second connection sends nothing, so that one remains to be closed."""
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
-    running = RunningSidecar(tmp_path, deadlines(0.5))
+    running = RunningSidecar(tmp_path, settings_with_deadline(0.5))
     running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, owner, method, 0)
 
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -29,7 +29,7 @@
     running,
     until,
 )
-from tests.test_shutdown import STARVED_S, Witness, deadlines
+from tests.test_shutdown import MAX_STALL_S, StallDetector, settings_with_deadline
 
 DEADLINE_S = 0.5
 SCHEDULING_SLACK_S = 0.2  # for the threads of both sides; a run in which the machine stalled does not count
@@ -188,10 +188,14 @@
     """Shut the program down during a disturbance; return whether the machine kept pace, and violations."""
     make_upstream = UPSTREAMS.get(upstream, lambda: Peer(echo))
     upstreams: list[Any] = [echo] * healthy + [make_upstream(), make_upstream()]
-    with running(tmp, *upstreams, sockets=SOCKETS, settings=deadlines(DEADLINE_S)) as (program, peers, _):
+    with running(tmp, *upstreams, sockets=SOCKETS, settings=settings_with_deadline(DEADLINE_S)) as (
+        program,
+        peers,
+        _,
+    ):
         clients = [WellBehavedClient(program, ("pay", "view")[n % 2]) for n in range(CLIENTS)]
         until(lambda: all(client.answered for client in clients))
-        witness, ended = Witness(), threading.Event()
+        stall_detector, ended = StallDetector(), threading.Event()
         disturber = threading.Thread(target=disturbance, args=(program, ended), daemon=True)
         disturber.start()
         targets = [len(client.answered) + ANSWERS for client in clients]
@@ -203,7 +207,7 @@
             client.end()
         ended.set()
         disturber.join(TIMEOUT_S)
-        longest_stall_s = witness.end()
+        longest_stall_s = stall_detector.stop()
         violations: list[object] = [fault for client in clients for fault in client.violations]
         forwarded = [message.headers["request-id"] for peer in peers for message in peer.received]
         unanswered = {name for client in clients for name in client.lost} & set(forwarded)
@@ -215,7 +219,7 @@
         slowest = max(client.slowest for client in clients)
         if slowest > DEADLINE_S + SCHEDULING_SLACK_S:
             violations.append(f"an answer after {slowest:.3f} s")
-    return longest_stall_s < STARVED_S, violations
+    return longest_stall_s < MAX_STALL_S, violations
 
 
 @pytest.mark.parametrize(("healthy", "upstream", "disturbance"), CASES)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -238,15 +238,15 @@
 
 
 class Agent(peers.DiscoveryServer):
-    """A discovery service that answers watches only once ``let`` is set."""
+    """A discovery service that answers watches only once ``release`` is set."""
 
     def __init__(self) -> None:
-        self.let, self.asked = threading.Event(), threading.Event()
+        self.release, self.asked = threading.Event(), threading.Event()
         super().__init__()
 
     def _serve_connection(self, conn: socket.socket) -> None:
         self.asked.set()
-        self.let.wait(peers.TIMEOUT_S)
+        self.release.wait(peers.TIMEOUT_S)
         super()._serve_connection(conn)
 
 
@@ -291,7 +291,7 @@
             conn.sendall(request(wait_ms=20_000))
             until(lambda: program.counters().get("requests_accepted", 0) == 1)
             assert upstreams[0].received == upstreams[1].received == []
-            agent.let.set()
+            agent.release.set()
             drained = entry("s-0", upstreams[0].port, "Terminating")
             agent.push(json.dumps(make_endpoint_list(drained, index=2, snapshot=False)).encode())
             assert peers.read_response(conn.makefile("rb"))[1].body == b"1"
@@ -307,7 +307,7 @@
         started_at = time.monotonic()
         until(lambda: program.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")[0] == 200)
         assert program.exchange(request())[0] == 200 and time.monotonic() - started_at < peers.TIMEOUT_S
-        agent.let.set()
+        agent.release.set()
 
 
 @pytest.mark.parametrize("poll_within", [2.0, 10.0, 600.0])
--- a/tests/unit/balancing/test_early_admission.py
+++ b/tests/unit/balancing/test_early_admission.py
@@ -23,7 +23,7 @@
             admitted += 1
             _, actions = driver.request(class_name)
             for send in sent_attempts(actions):
-                driver.end(send)
+                driver.end_attempt(send)
     return admitted / 500
 
 
--- a/tests/unit/balancing/test_health_checks.py
+++ b/tests/unit/balancing/test_health_checks.py
@@ -26,7 +26,7 @@
         for _ in range(100):
             driver.now += 0.5
             _, actions = driver.request()
-            driver.end(sent_attempts(actions)[0])
+            driver.end_attempt(sent_attempts(actions)[0])
             for health_check in actions_of_type(actions, SendHealthCheck):
                 count += 1
                 driver.balancer.handle(
@@ -60,7 +60,7 @@
     for _ in range(2000):
         driver.now += 0.05
         _, actions = driver.request()
-        driver.end(sent_attempts(actions)[0])
+        driver.end_attempt(sent_attempts(actions)[0])
         for health_check in actions_of_type(actions, SendHealthCheck):
             count += 1
             report_in_flight(driver, **{health_check.upstream: 0})
@@ -80,4 +80,4 @@
                 == 0
             )
         (send,) = sent_attempts(actions)
-        driver.end(send)
+        driver.end_attempt(send)
--- a/tests/unit/balancing/test_idle_connections.py
+++ b/tests/unit/balancing/test_idle_connections.py
@@ -17,5 +17,7 @@
     names = set()
     for _ in range(60):
         send = sent_attempts(driver.request()[1])[0]
-        names |= {action.upstream for action in actions_of_type(driver.end(send), CloseIdleConnections)}
+        names |= {
+            action.upstream for action in actions_of_type(driver.end_attempt(send), CloseIdleConnections)
+        }
     assert len(names) >= min_closed and (min_closed > 0 or not names)
--- a/tests/unit/balancing/test_load_shedding.py
+++ b/tests/unit/balancing/test_load_shedding.py
@@ -28,7 +28,7 @@
         rejected[name] += not sent_attempts(actions)
         for send in sent_attempts(actions):
             driver.now += 0.01
-            driver.end(send, AttemptOutcome.OK if number % 10 < 6 else failure, elapsed=0.5)
+            driver.end_attempt(send, AttemptOutcome.OK if number % 10 < 6 else failure, elapsed=0.5)
     if failure is AttemptOutcome.TIMED_OUT:
         assert rejected["view"] > 20 and rejected["pay"] < rejected["view"] / 2
     else:
@@ -53,7 +53,7 @@
             # Responses are late while more requests are admitted than the fleet can serve: 25 per second.
             late = len(sent) == 25 and sent[0] > driver.now - 1.0
             sent.append(driver.now)
-            driver.end(send, AttemptOutcome.TIMED_OUT if late else AttemptOutcome.OK)
+            driver.end_attempt(send, AttemptOutcome.TIMED_OUT if late else AttemptOutcome.OK)
     ratios = {tenant: rejected[tenant] / arrived[tenant] for tenant in arrived}
     assert ratios["loud"] > 0.3
     assert (ratios["quiet"] < 0.3 * ratios["loud"]) == is_protected
@@ -64,4 +64,4 @@
         driver.now += 0.05
         _, actions = driver.request()
         assert sent_attempts(actions)
-        driver.end(sent_attempts(actions)[0])
+        driver.end_attempt(sent_attempts(actions)[0])
--- a/tests/unit/balancing/test_outlier_ejection.py
+++ b/tests/unit/balancing/test_outlier_ejection.py
@@ -30,7 +30,9 @@
     driver.serve(100)
     for _ in range(60):
         _, actions = driver.request("pay")
-        logs = actions_of_type(driver.end(sent_attempts(actions)[0], AttemptOutcome.BROKEN), LogMessage)
+        logs = actions_of_type(
+            driver.end_attempt(sent_attempts(actions)[0], AttemptOutcome.BROKEN), LogMessage
+        )
         assert not [log for log in logs if log.text.startswith("ejected")]
         driver.serve(30)
 
@@ -47,11 +49,11 @@
         timed_out, other = sent_attempts(driver.request()[1])[0], sent_attempts(driver.request()[1])[0]
         driver.now += 0.5
         if served_since or other.upstream != bad:
-            driver.end(other)
+            driver.end_attempt(other)
         outcome = AttemptOutcome.TIMED_OUT if timed_out.upstream == bad else AttemptOutcome.OK
         served_other = served_since and other.upstream == bad
         if outcome is AttemptOutcome.OK or served_other or not served_since:
-            logs += actions_of_type(driver.end(timed_out, outcome, elapsed=0.5), LogMessage)
+            logs += actions_of_type(driver.end_attempt(timed_out, outcome, elapsed=0.5), LogMessage)
     assert any(log.text == f"ejected {bad}: consecutive failures" for log in logs) is ejected
 
 
@@ -72,15 +74,16 @@
         if send.upstream == bad:
             pending.append(send)
         else:
-            driver.end(send)
+            driver.end_attempt(send)
     last, logs = pending.pop(), list[str]()
     driver.now += 0.5
     while pending and f"ejected {bad}: consecutive failures" not in logs:
         logs += [
-            log.text for log in actions_of_type(driver.end(pending.pop(), outcome, elapsed=0.5), LogMessage)
+            log.text
+            for log in actions_of_type(driver.end_attempt(pending.pop(), outcome, elapsed=0.5), LogMessage)
         ]
     assert f"ejected {bad}: consecutive failures" in logs
-    logs += [log.text for log in actions_of_type(driver.end(last, elapsed=0.6), LogMessage)]
+    logs += [log.text for log in actions_of_type(driver.end_attempt(last, elapsed=0.6), LogMessage)]
     assert (f"ejection of {bad} ended: it responds again" in logs) is ends
     driver.now += 0.01
     selected = {sent_attempts(driver.request()[1])[0].upstream for _ in range(60)}
--- a/tests/unit/balancing/test_rejection_sampling.py
+++ b/tests/unit/balancing/test_rejection_sampling.py
@@ -21,7 +21,7 @@
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
         # At so low a utilisation no capacity is learned, so the weights depend on the rates alone.
-        driver.end(send, elapsed=0.125, load=load(rates[names.index(send.upstream)], 0.1))
+        driver.end_attempt(send, elapsed=0.125, load=load(rates[names.index(send.upstream)], 0.1))
         reported.add(send.upstream)
     assert len(reported) == count
     return driver
@@ -41,7 +41,7 @@
             _, actions = driver.request()
             send = sent_attempts(actions)[0]
             number = int(send.upstream.split(".")[3].split(":")[0])
-            driver.end(
+            driver.end_attempt(
                 send, elapsed=0.125, load=None if send.upstream in silent else load(rates[number], 0.1)
             )
             reported |= {send.upstream} - silent
@@ -54,7 +54,7 @@
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
         counts[send.upstream] += 1
-        driver.end(send, elapsed=0.125)
+        driver.end_attempt(send, elapsed=0.125)
     expected = [20_000 * weight / sum(weights) for weight in weights]
     chi_square = sum((n - e) ** 2 / e for n, e in zip(counts.values(), expected, strict=True))
     assert chi_square < 148.2  # the critical value at 0.1% for 99 degrees of freedom
@@ -67,14 +67,14 @@
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
         number = int(send.upstream.split(".")[3].split(":")[0])
-        driver.end(send, elapsed=0.125, load=load(20.0, 1.0 if number < 40 else 0.2))
+        driver.end_attempt(send, elapsed=0.125, load=load(20.0, 1.0 if number < 40 else 0.2))
     assert not any(int(name.split(".")[3].split(":")[0]) < 40 for name in count_first_choices(driver, 300))
     driver.now += 3.1
     for _ in range(4000):
         driver.now += 0.0005
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
-        driver.end(send, elapsed=0.125, load=load(20.0, 1.0))
+        driver.end_attempt(send, elapsed=0.125, load=load(20.0, 1.0))
     cold = tuple(replace(m, started=driver.now) for m in make_members(110)[100:])
     driver.update_members(cold)
     counts = count_first_choices(driver, 6000)
--- a/tests/unit/balancing/test_request_registry.py
+++ b/tests/unit/balancing/test_request_registry.py
@@ -42,7 +42,7 @@
     expected = [CancelAttempt(name, 0)] if cancellation else []
     assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == expected
     assert driver.balancer.handle(driver.now, ClientDisconnected(name)) == []
-    assert actions_of_type(driver.end(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
+    assert actions_of_type(driver.end_attempt(send, AttemptOutcome.CANCELLED), CancelAttempt) == []
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,9 @@
     name, actions = driver.request(settings.name, budget=1.5)
     assert sent_attempts(actions)[0].timeout == timeout
     driver.now += timeout or 1.5
-    (final_answer,) = driver.end(sent_attempts(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5)
+    (final_answer,) = driver.end_attempt(
+        sent_attempts(actions)[0], AttemptOutcome.TIMED_OUT, elapsed=timeout or 1.5
+    )
     assert final_answer == (RejectRequest(name) if settings is SAFE else FailRequest(name))
 
 
@@ -76,7 +78,7 @@
         for send in found:
             late = elapsed > 0.5
             outcome = AttemptOutcome.TIMED_OUT if late and send.timeout else AttemptOutcome.OK
-            driver.end(send, outcome, elapsed=min(elapsed, send.timeout or elapsed))
+            driver.end_attempt(send, outcome, elapsed=min(elapsed, send.timeout or elapsed))
         driver.now -= 0.45
         return logged, found[0].timeout if found else -1.0
 
@@ -100,7 +102,7 @@
     latency = upstream.relative_latency(driver.now)
     assert driver.balancer._traffic.late_count(driver.now) == 1.0 and latency > 1.0
     assert upstream.consecutive_failures > 0
-    driver.end(send, outcome, elapsed=0.5)
+    driver.end_attempt(send, outcome, elapsed=0.5)
     assert driver.balancer._traffic.late_count(driver.now) == 1.0
     assert upstream.relative_latency(driver.now) == latency
     assert (upstream.consecutive_failures == 0) is (outcome is AttemptOutcome.OK)
@@ -136,6 +138,6 @@
     _, actions = driver.request()
     send = sent_attempts(actions)[0]
     driver.balancer.handle(driver.now, ClientDisconnected(send.id))
-    assert not driver.end(send, AttemptOutcome.TIMED_OUT)
-    assert not driver.end(SendAttempt("nobody", send.upstream), AttemptOutcome.OK)
+    assert not driver.end_attempt(send, AttemptOutcome.TIMED_OUT)
+    assert not driver.end_attempt(SendAttempt("nobody", send.upstream), AttemptOutcome.OK)
     assert not driver.balancer.handle(driver.now, TimerFired(999))
--- a/tests/unit/balancing/test_retry_policy.py
+++ b/tests/unit/balancing/test_retry_policy.py
@@ -22,14 +22,14 @@
     driver.serve(20)
     _, actions = driver.request("pay")
     first = sent_attempts(actions)[0]
-    second = sent_attempts(driver.end(first, AttemptOutcome.REJECTED))[0]
+    second = sent_attempts(driver.end_attempt(first, AttemptOutcome.REJECTED))[0]
     assert second.upstream != first.upstream
 
 
 def test_unsafe_request_that_may_have_run_fails(driver: Driver) -> None:
     driver.serve(20)
     _, actions = driver.request("pay")
-    after = driver.end(sent_attempts(actions)[0], AttemptOutcome.BROKEN)
+    after = driver.end_attempt(sent_attempts(actions)[0], AttemptOutcome.BROKEN)
     assert (
         actions_of_type(after, FailRequest)
         and not sent_attempts(after)
@@ -44,7 +44,7 @@
         driver.serve(5)
         _, actions = driver.request("order")
         first = sent_attempts(actions)[0]
-        for second in sent_attempts(driver.end(first, AttemptOutcome.BROKEN)):
+        for second in sent_attempts(driver.end_attempt(first, AttemptOutcome.BROKEN)):
             assert replica_groups[second.upstream] == replica_groups[first.upstream]
 
 
@@ -55,7 +55,7 @@
         _, actions = driver.request()
         attempt = 0
         while found := sent_attempts(actions):
-            actions = driver.end(found[0], AttemptOutcome.REJECTED, attempt)
+            actions = driver.end_attempt(found[0], AttemptOutcome.REJECTED, attempt)
             retries += attempt > 0
             attempt += 1
     assert retries <= 5
@@ -78,7 +78,7 @@
     first = sent_attempts(actions)[0]
     assert 0.0 < first.timeout < 0.5
     driver.now += first.timeout
-    retried = sent_attempts(driver.end(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
+    retried = sent_attempts(driver.end_attempt(first, AttemptOutcome.TIMED_OUT, elapsed=first.timeout))
     assert retried and retried[0].upstream != first.upstream
 
 
@@ -88,7 +88,7 @@
     for _ in range(30):
         _, actions = driver.request()
         for send in sent_attempts(actions):
-            for retried in sent_attempts(driver.end(send, AttemptOutcome.REJECTED)):
+            for retried in sent_attempts(driver.end_attempt(send, AttemptOutcome.REJECTED)):
                 assert retried.upstream == make_members(6)[0].id
 
 
--- a/tests/unit/balancing/test_selection_index.py
+++ b/tests/unit/balancing/test_selection_index.py
@@ -29,7 +29,7 @@
         _, actions = driver.request()
         send = sent_attempts(actions)[0]
         if random.random() < 0.9:
-            driver.end(send, elapsed=0.1, load=load(random.uniform(0, 50), random.uniform(0.1, 1.05)))
+            driver.end_attempt(send, elapsed=0.1, load=load(random.uniform(0, 50), random.uniform(0.1, 1.05)))
         if step % 500 == 0:
             gone = replace(make_members(60)[random.randrange(60)], state=EndpointState.GONE)
             driver.update_members((gone,))
--- a/tests/unit/balancing/test_slow_start.py
+++ b/tests/unit/balancing/test_slow_start.py
@@ -347,4 +347,6 @@
         assert first == second
         for driver in drivers:
             driver.now += 0.02
-            driver.end(sent_attempts(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6))
+            driver.end_attempt(
+                sent_attempts(first)[0], load=LoadReport(rate=20.0 + number % 5, utilisation=0.6)
+            )
--- a/tests/unit/balancing/test_upstream_selection.py
+++ b/tests/unit/balancing/test_upstream_selection.py
@@ -27,7 +27,7 @@
             type(action) for action in actions if actions_of_type([action], RejectRequest)
         ]
         # No further attempt is sent while no upstream has capacity.
-        assert not sent_attempts(driver.end(send, AttemptOutcome.ERROR))
+        assert not sent_attempts(driver.end_attempt(send, AttemptOutcome.ERROR))
         report_in_flight(driver, a=0, b=9, c=9)
         assert driver.serve(1) == {"a": 1}
 
@@ -73,7 +73,7 @@
             _, actions = driver.request()
             for send in sent_attempts(actions):
                 cold_counts[full] += send.upstream == "cold"
-                driver.end(send)
+                driver.end_attempt(send)
     assert 0 < cold_counts[True] < 1.5 * cold_counts[False] < 200
 
 
@@ -90,7 +90,7 @@
         served.append(bool(found))
         driver.now += 0.05
         for send in found:
-            driver.end(send, elapsed=0.02)
+            driver.end_attempt(send, elapsed=0.02)
     assert served[:20] == [False] * 20 and served[20]
     assert all(served[-1000:])
 
@@ -104,5 +104,5 @@
         sent += len(found)
         driver.now += 0.2
         for send in found:
-            driver.end(send, elapsed=0.2)
+            driver.end_attempt(send, elapsed=0.2)
     assert sent == 1000 // 21
--- a/tests/unit/balancing/test_weighted_selection.py
+++ b/tests/unit/balancing/test_weighted_selection.py
@@ -53,7 +53,9 @@
             send = sent_attempts(actions)[0]
             reports_left[send.upstream] -= 1
             utilisation = 0.99 if send.upstream == names[0] else 0.6
-            driver.end(send, load=load(20.0, utilisation) if reports_left[send.upstream] >= 0 else None)
+            driver.end_attempt(
+                send, load=load(20.0, utilisation) if reports_left[send.upstream] >= 0 else None
+            )
         assert (names[0] not in count_first_choices(driver)) == filtered
 
 
@@ -89,7 +91,7 @@
         if send.upstream == slow:
             open_count += 1
         else:
-            driver.end(send)
+            driver.end_attempt(send)
     assert 0 < open_count < 15  # of 200 requests; an even share is 33
 
 
