--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,21 +15,21 @@
 
 from tests.peers import (
     SETTINGS,
-    WAIT,
+    TIMEOUT_S,
     Message,
     Peer,
-    Raw,
+    RawUpstream,
     echo,
     entry,
+    make_endpoint_list,
     ok,
-    parse_endpoint_list,
-    read_answer,
+    read_response,
     request,
     running,
     status,
     until,
 )
-from tests.test_endings import LEAVING, Held
+from tests.test_endings import DISCONNECTS, HeldUpstream
 
 # Further input that the client has sent after its request; the last two pause reading.
 BEHIND = {
@@ -43,10 +43,10 @@
 
 def received_by(upstreams: list[Peer]) -> int:
     """Return the number of requests that the upstreams have received."""
-    return sum(len(upstream.got) for upstream in upstreams)
+    return sum(len(upstream.received) for upstream in upstreams)
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 @pytest.mark.parametrize(
     ("state", "first"),
@@ -59,7 +59,7 @@
     release = threading.Event()
 
     def script(message: Message) -> bytes | None:
-        release.wait(WAIT)
+        release.wait(TIMEOUT_S)
         return echo(message) if message.body == b"end" else first
 
     with running(tmp_path, script, script) as (program, upstreams, _), program.connect() as conn:
@@ -70,18 +70,18 @@
         disconnect(conn)
         release.set()
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        assert program.ask(request("pay", b"end"))[1].body == b"end"
+        assert program.exchange(request("pay", b"end"))[1].body == b"end"
         until(lambda: program.counters()["requests_unanswered"] == 0)
         assert received_by(upstreams) == before + 1
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_hedged_request_for_a_client_that_has_left(
     tmp_path: Path, disconnect: Disconnect, behind: str
 ) -> None:
     """A hedged request: the second attempt would be sent while the first one is in flight."""
-    upstream, other = Held(), Held()
+    upstream, other = HeldUpstream(), HeldUpstream()
     with running(tmp_path, upstream, other) as (program, upstreams, _), program.connect() as conn:
         conn.sendall(request("view", wait_ms=1200) + BEHIND[behind])
         until(lambda: received_by(upstreams) == 1)
@@ -91,10 +91,10 @@
         until(lambda: program.counters().get("attempt_cancelled", 0) == before)  # the deadline has passed
         assert received_by(upstreams) == before
         for held in (upstream, other):
-            held.let.set()
+            held.release.set()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 @pytest.mark.parametrize("behind", BEHIND)
 def test_no_first_attempt_once_an_upstream_is_added(
     tmp_path: Path, disconnect: Disconnect, behind: str
@@ -105,13 +105,13 @@
         until(lambda: program.counters().get("requests_accepted", 0) == 1)
         disconnect(conn)
         until(lambda: program.counters().get("clients_disconnected", 0) == 1)
-        discovery.push(json.dumps(parse_endpoint_list(entry("s-0", upstream.port), index=2)).encode())
-        until(lambda: program.ask(request("pay", b"end"))[0] == 200)
-        assert {message.body for message in upstream.got} == {b"end"}
+        discovery.push(json.dumps(make_endpoint_list(entry("s-0", upstream.port), index=2)).encode())
+        until(lambda: program.exchange(request("pay", b"end"))[0] == 200)
+        assert {message.body for message in upstream.received} == {b"end"}
     upstream.close()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_last_byte_of_a_long_body_is_not_forwarded(tmp_path: Path, disconnect: Disconnect) -> None:
     """An upstream starts a request with its last byte. The client writes the whole body and disconnects while
     the upstream reads slowly, so that the sidecar has paused reading."""
@@ -128,7 +128,7 @@
                 conn.sendall(ok())
             client_left.wait(0.01)
 
-    with running(tmp_path, Raw(exchange), settings=SETTINGS) as (program, _, _d):
+    with running(tmp_path, RawUpstream(exchange), settings=SETTINGS) as (program, _, _d):
         conn = program.connect()
         with contextlib.suppress(ConnectionError):
             conn.sendall(request("pay", b"x" * size))
@@ -148,5 +148,5 @@
                 sender.start()
                 file = conn.makefile("rb")
                 for _ in range(1 + behind.count(b"HTTP/1.1")):
-                    assert read_answer(file)[0] == 200
+                    assert read_response(file)[0] == 200
                 sender.join()
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -18,8 +18,8 @@
 
 from indigokeel.metrics import Counters
 from indigokeel.net.downstream.client_connection import ClientConnection, Handler
-from tests.peers import Message, Program, ok, read_answer, request, running, status, until
-from tests.test_endings import BIG, LEAVING
+from tests.peers import Message, Program, ok, read_response, request, running, status, until
+from tests.test_endings import DISCONNECTS, LARGE_BODY
 
 SOCKETS = 64  # descriptors of the process, of which 17 are for clients
 MAX_CLIENTS = 17
@@ -41,7 +41,7 @@
 # --- a client that disconnects before the event loop reads its request ----------------------------------
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_request_read_after_its_client_disconnected_is_not_forwarded(
     tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
@@ -49,15 +49,15 @@
     with running(tmp_path, lambda message: ok(message.body)) as (program, (upstream,), _):
         conn = program.connect()
         conn.sendall(request("pay", b"0"))
-        assert read_answer(conn.makefile("rb"))[0] == 200
+        assert read_response(conn.makefile("rb"))[0] == 200
         # The next attempt need not wait for a connection.
         until(lambda: program.counters()["upstream_connections_idle"] == 1)
         with stopped(program):
             conn.sendall(request("pay", b"1"))
             disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
-        assert program.ask(request("pay", b"2"))[1].body == b"2"
-        assert [message.body for message in upstream.got] == [b"0", b"2"]
+        assert program.exchange(request("pay", b"2"))[1].body == b"2"
+        assert [message.body for message in upstream.received] == [b"0", b"2"]
         counters = program.counters()
         assert (
             counters["requests_unanswered"],
@@ -67,7 +67,7 @@
         conn.close()
 
 
-@pytest.mark.parametrize("disconnect", LEAVING)
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
 def test_retry_is_not_sent_once_its_client_has_disconnected(
     tmp_path: Path, disconnect: Callable[[socket.socket], None]
 ) -> None:
@@ -81,14 +81,14 @@
     with running(tmp_path, reject, reject) as (program, upstreams, _):
         conn = program.connect()
         conn.sendall(request("view"))
-        until(lambda: sum(len(upstream.got) for upstream in upstreams) == 1)
-        held = next(upstream for upstream in upstreams if upstream.got)
+        until(lambda: sum(len(upstream.received) for upstream in upstreams) == 1)
+        held = next(upstream for upstream in upstreams if upstream.received)
         with stopped(program):
             release.set()
-            until(lambda: held.answered == 1)
+            until(lambda: held.responses_sent == 1)
             disconnect(conn)
         until(lambda: program.counters()["client_connections_open"] == 0)
-        assert sum(len(upstream.got) for upstream in upstreams) == 1
+        assert sum(len(upstream.received) for upstream in upstreams) == 1
         assert program.counters()["requests_unanswered"] == 0
         conn.close()
 
@@ -100,7 +100,7 @@
     """The client reads slowly, so that the response is in the system's send buffer, and there is unread
     input: a close would reset the connection and discard the response."""
     with (
-        running(tmp_path, lambda _: ok(BIG), sockets=SOCKETS) as (program, _upstreams, _d),
+        running(tmp_path, lambda _: ok(LARGE_BODY), sockets=SOCKETS) as (program, _upstreams, _d),
         socket.socket() as conn,
     ):
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -117,10 +117,10 @@
             other = program.connect()
             others.append(other)
             other.sendall(request("pay", b"2"))
-            assert read_answer(other.makefile("rb"))[1].body == BIG
+            assert read_response(other.makefile("rb"))[1].body == LARGE_BODY
         conn.settimeout(20.0)
-        code, answer = read_answer(conn.makefile("rb"))
-        assert (code, answer.body) == (200, BIG)
+        code, answer = read_response(conn.makefile("rb"))
+        assert (code, answer.body) == (200, LARGE_BODY)
         for other in others:
             other.close()
 
@@ -135,12 +135,12 @@
         until(lambda: program.counters()["client_connections_open"] >= MAX_CLIENTS)
         time.sleep(0.6)  # until the requests count as stalled; a longer wait does no harm
         for number in range(5):
-            assert program.ask(request("pay", b"x%d" % number))[1].body == b"x%d" % number
+            assert program.exchange(request("pay", b"x%d" % number))[1].body == b"x%d" % number
         error_responses = 0
         for conn, message in zip(partial_clients, messages, strict=True):
             with contextlib.suppress(OSError):
                 conn.sendall(message[-1:])
-            code, answer = read_answer(conn.makefile("rb"))
+            code, answer = read_response(conn.makefile("rb"))
             assert code == 200 and answer.body in message or code in (408, 503)
             error_responses += code != 200
             conn.close()
@@ -184,7 +184,7 @@
                 conn.sendall(request("pay", b"half")[:-2])
             elif number % 3 == 2:
                 conn.sendall(request("view"))
-            answer = program.ask(request("pay", b"%d" % number))
+            answer = program.exchange(request("pay", b"%d" % number))
             assert (answer[0], answer[1].body) == (200, b"%d" % number)
         counters = program.counters()
         # 12 of the reserved descriptors may be in use as well.
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -22,14 +22,14 @@
 from indigokeel.process.request_service import RequestService
 from indigokeel.process.shutdown import ShutdownTimes
 from indigokeel.requests.coordinator import RequestCoordinator
-from tests.peers import SETTINGS, WAIT, Message, Program, echo, read_answer, request, running, until
+from tests.peers import SETTINGS, TIMEOUT_S, Message, Program, echo, read_response, request, running, until
 from tests.test_supervision import Fault, RunningSidecar
 
-STARVED_S = 0.05  # a run in which the machine itself paused for this long proves nothing
+MAX_STALL_S = 0.05  # a run in which the machine itself paused for this long proves nothing
 MAX_RUNS = 10
 
 
-def deadlines(seconds: float) -> dict[str, Any]:
+def settings_with_deadline(seconds: float) -> dict[str, Any]:
     """Return the settings with the same deadline for all classes."""
     return {
         **SETTINGS,
@@ -78,7 +78,7 @@
         file = self.conn.makefile("rb")
         try:
             while file.peek(1):
-                read_answer(file)
+                read_response(file)
                 self.answers += 1
         except ConnectionResetError:
             return
@@ -87,11 +87,11 @@
 
     def join(self) -> None:
         for thread in self.threads:
-            thread.join(WAIT)
+            thread.join(TIMEOUT_S)
         self.conn.close()
 
 
-class Witness:
+class StallDetector:
     """Detects that the machine paused: measures by how much short sleeps overrun."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
             time.sleep(0.005)
             self.worst = max(self.worst, time.monotonic() - began - 0.005)
 
-    def end(self) -> float:
+    def stop(self) -> float:
         self._ended.set()
         self._thread.join()
         return self.worst
@@ -117,21 +117,25 @@
 
     def slow(message: Message) -> bytes:
         if message.headers["request-id"].endswith(("0", "7")):
-            stop.wait(WAIT)
+            stop.wait(TIMEOUT_S)
         return echo(message)
 
-    with running(tmp, echo, slow, settings=deadlines(deadline), listener=listener) as (program, upstreams, _):
+    with running(tmp, echo, slow, settings=settings_with_deadline(deadline), listener=listener) as (
+        program,
+        upstreams,
+        _,
+    ):
         client_options = [(1, False), (1, False), (4, False), (4, False), (2, True), (6, True)]
         clients = [Client(program, *options) for options in client_options]
         until(lambda: all(client.answers >= 3 for client in clients))
-        witness = Witness()
+        stall_detector = StallDetector()
         program.process.send_signal(signal.SIGTERM)
         kill_at = time.monotonic() + min(deadline, 3.0) + 0.7
         while time.monotonic() < kill_at and program.process.poll() is None:
             time.sleep(0.002)
         program.process.kill()
         code = program.process.wait()
-        worst = witness.end()
+        worst = stall_detector.stop()
         for client in clients:
             client.join()
         stop.set()
@@ -139,7 +143,7 @@
         if code != 0:
             wrong.append(f"exited with {code}")
         answered = {name for client in clients for name in client.sent_ids[: client.answers]}
-        seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.got}
+        seen = {message.headers["request-id"] for upstream in upstreams for message in upstream.received}
         wrong += sorted(seen - answered)
         if code == 0:
             counters = program.last_counters()
@@ -147,7 +151,7 @@
             read = counters["requests_accepted"] + sum(counters.get(name, 0) for name in rejected)
             if read != len(answered):
                 wrong.append(f"{read:.0f} read, {len(answered)} answered")
-    return worst < STARVED_S, wrong
+    return worst < MAX_STALL_S, wrong
 
 
 @pytest.mark.parametrize("shared", [False, True])
@@ -183,14 +187,14 @@
     """Here the time to accept requests ends at once, and the time to read from connections much later."""
 
     def plan(now: float, *_: float) -> ShutdownTimes:
-        return ShutdownTimes(now, now + WAIT, now, now + WAIT, now + WAIT, now + WAIT)
+        return ShutdownTimes(now, now + TIMEOUT_S, now, now + TIMEOUT_S, now + TIMEOUT_S, now + TIMEOUT_S)
 
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(ShutdownTimes, "plan", plan)
     running = RunningSidecar(tmp_path)
 
     async def script() -> None:
-        with socket.create_connection(running.listener.getsockname(), timeout=WAIT) as conn:
+        with socket.create_connection(running.listener.getsockname(), timeout=TIMEOUT_S) as conn:
             first = request("pay", b"first")
             conn.sendall(first[:-1])  # a partial request keeps the connection open
             await asyncio.sleep(0.05)
@@ -198,9 +202,9 @@
             while not running.sidecar.closing:
                 await asyncio.sleep(0.001)
             conn.sendall(first[-1:])
-            code, answer = await asyncio.to_thread(read_answer, conn.makefile("rb"))
+            code, answer = await asyncio.to_thread(read_response, conn.makefile("rb"))
             assert code == 503 and answer.headers["connection"] == "close"
-            assert running.upstream.got == []
+            assert running.upstream.received == []
 
     running.run_script(script)
 
@@ -230,13 +234,13 @@
     gets a complete response. A second connection sends nothing, so that one remains to be closed."""
     monkeypatch.setattr(sidecar, "_ACCEPT_AFTER_SIGTERM_S", 0.0)
     monkeypatch.setattr(sidecar, "_PARTIAL_REQUEST_S", 0.0)
-    running = RunningSidecar(tmp_path, deadlines(0.5))
+    running = RunningSidecar(tmp_path, settings_with_deadline(0.5))
     running.upstream.script = lambda message: b""
     fault = Fault(monkeypatch, owner, method, 0)
 
     async def script() -> None:
         answer = asyncio.create_task(asyncio.to_thread(running.ask, request("pay", b"1")))
-        while not running.upstream.got or running.counters["client_connections"] < 2:
+        while not running.upstream.received or running.counters["client_connections"] < 2:
             await asyncio.sleep(0.001)
         fault.times = 10**6
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_trouble_elsewhere.py
+++ b/tests/test_trouble_elsewhere.py
@@ -16,8 +16,20 @@
 
 import pytest
 
-from tests.peers import WAIT, Message, Peer, Program, Raw, echo, ok, read_answer, request, running, until
-from tests.test_shutdown import STARVED_S, Witness, deadlines
+from tests.peers import (
+    TIMEOUT_S,
+    Message,
+    Peer,
+    Program,
+    RawUpstream,
+    echo,
+    ok,
+    read_response,
+    request,
+    running,
+    until,
+)
+from tests.test_shutdown import MAX_STALL_S, StallDetector, settings_with_deadline
 
 DEADLINE_S = 0.5
 SCHEDULING_SLACK_S = 0.2  # for the threads of both sides; a run in which the machine stalled does not count
@@ -40,7 +52,7 @@
 
     def end(self) -> None:
         self._ended.set()
-        self._thread.join(WAIT)
+        self._thread.join(TIMEOUT_S)
         if self._thread.is_alive():
             self.violations.append("still waiting for an answer")
 
@@ -58,7 +70,7 @@
         sent_at = time.monotonic()
         try:
             conn.sendall(message)
-            code, answer = read_answer(file)
+            code, answer = read_response(file)
         except TimeoutError:
             self.violations.append(f"{name}: no answer")
             return False
@@ -90,14 +102,14 @@
             conn.sendall(chunk)
             time.sleep(pause)
 
-    return lambda: Raw(answer)
+    return lambda: RawUpstream(answer)
 
 
 def stopping() -> Peer:
     """Return an upstream that stops listening after a few requests."""
 
     def serve(message: Message) -> bytes | None:
-        if len(peer.got) < 8:
+        if len(peer.received) < 8:
             return echo(message)
         peer.close()
         return None
@@ -110,7 +122,7 @@
     ended = threading.Event()
 
     def wait(_: Message) -> None:
-        ended.wait(4.0 * WAIT)
+        ended.wait(4.0 * TIMEOUT_S)
 
     return Peer(wait)
 
@@ -176,24 +188,28 @@
     """Shut the program down during a disturbance; return whether the machine kept pace, and violations."""
     make_upstream = UPSTREAMS.get(upstream, lambda: Peer(echo))
     upstreams: list[Any] = [echo] * healthy + [make_upstream(), make_upstream()]
-    with running(tmp, *upstreams, sockets=SOCKETS, settings=deadlines(DEADLINE_S)) as (program, peers, _):
+    with running(tmp, *upstreams, sockets=SOCKETS, settings=settings_with_deadline(DEADLINE_S)) as (
+        program,
+        peers,
+        _,
+    ):
         clients = [WellBehavedClient(program, ("pay", "view")[n % 2]) for n in range(CLIENTS)]
         until(lambda: all(client.answered for client in clients))
-        witness, ended = Witness(), threading.Event()
+        stall_detector, ended = StallDetector(), threading.Event()
         disturber = threading.Thread(target=disturbance, args=(program, ended), daemon=True)
         disturber.start()
         targets = [len(client.answered) + ANSWERS for client in clients]
         until(lambda: all(len(c.answered) >= expected for c, expected in zip(clients, targets, strict=True)))
         lost = sum(len(client.lost) for client in clients)
         program.process.send_signal(signal.SIGTERM)
-        code = program.process.wait(WAIT)
+        code = program.process.wait(TIMEOUT_S)
         for client in clients:
             client.end()
         ended.set()
-        disturber.join(WAIT)
-        longest_stall_s = witness.end()
+        disturber.join(TIMEOUT_S)
+        longest_stall_s = stall_detector.stop()
         violations: list[object] = [fault for client in clients for fault in client.violations]
-        forwarded = [message.headers["request-id"] for peer in peers for message in peer.got]
+        forwarded = [message.headers["request-id"] for peer in peers for message in peer.received]
         unanswered = {name for client in clients for name in client.lost} & set(forwarded)
         violations += [f"forwarded but not answered: {name}" for name in unanswered]
         if lost and disturbance is no_disturbance:
@@ -203,7 +219,7 @@
         slowest = max(client.slowest for client in clients)
         if slowest > DEADLINE_S + SCHEDULING_SLACK_S:
             violations.append(f"an answer after {slowest:.3f} s")
-    return longest_stall_s < STARVED_S, violations
+    return longest_stall_s < MAX_STALL_S, violations
 
 
 @pytest.mark.parametrize(("healthy", "upstream", "disturbance"), CASES)
